--- a/agatetack/attempts/budget.py
+++ b/agatetack/attempts/budget.py
@@ -4,12 +4,12 @@
 
 
 class RatioBudget:
-    """Tokens earned by requests and spent by further attempts.
+    """A token bucket that requests fill and retries or hedges empty.
 
     Attributes:
-        ratio: Tokens that each request earns.
-        burst: Most tokens held.
-        tokens: Tokens held now.
+        ratio: Tokens added by each request.
+        burst: Maximum number of tokens.
+        tokens: Tokens available now.
     """
 
     def __init__(self, ratio: float, burst: float):
@@ -19,7 +19,7 @@
         self.tokens = float(burst)
 
     def earn(self) -> None:
-        """Add what one request earns."""
+        """Add the tokens of one request."""
         self.tokens = min(self.burst, self.tokens + self.ratio)
 
     def spend(self) -> bool:
@@ -30,7 +30,7 @@
         return True
 
     def give_back(self) -> None:
-        """Return a token that was not used after all."""
+        """Put back a token that was not used."""
         self.tokens = min(self.burst, self.tokens + 1)
 
 
@@ -52,6 +52,6 @@
         return budget
 
     def keep_only(self, routes: set[RouteId]) -> None:
-        """Forget routes that are no more."""
+        """Drop the budgets of all other routes."""
         for route in self.by_route.keys() - routes:
             del self.by_route[route]
--- a/agatetack/attempts/fleet_budget.py
+++ b/agatetack/attempts/fleet_budget.py
@@ -1,4 +1,4 @@
-"""Bound what the whole fleet sends to one service beyond first attempts."""
+"""Limit the retries and hedges that the whole fleet sends to one service."""
 
 from collections import deque
 from collections.abc import Callable
@@ -10,40 +10,40 @@
 from agatetack.settings.model import Settings
 
 RATIO_SHARE = 0.8
-"""Share of the allowed ratio that is spent, as windows of requests and of
-repeats do not end together."""
+"""Share of the configured ratio that is used. The rest is a margin, as the
+windows of requests and of repeats do not end at the same time."""
 
 SLACK_SHARE = 0.5
-"""Share of the allowed slack that is handed out. A host that was killed has
-forgotten what it spent, and gets its part of the slack a second time within
-one window."""
+"""Share of the configured slack that is used. A killed host loses the record
+of what it spent, and gets its part of the slack a second time within one
+window."""
 
 
 class ServiceWindow:
-    """When requests and repeats of one service were sent lately."""
+    """Times of one service's requests and repeats in the current window."""
 
     def __init__(self) -> None:
-        """Start with none."""
+        """Start empty."""
         self.requests: deque[float] = deque()
         self.repeats: deque[float] = deque()
 
     def forget(self, before: float) -> None:
-        """Forget what lies before the window."""
+        """Drop the times before `before`, the start of the window."""
         for times in (self.requests, self.repeats):
             while times and times[0] < before:
                 times.popleft()
 
 
 class FleetBudget:
-    """This host's part of what the fleet may send again.
+    """This host's part of the fleet's budget of repeats: retries and hedges.
 
-    The fleet may send to one service, in any window, a ratio of the service's
-    requests and a slack. Each host spends the ratio of its own requests, and
-    its equal part of the slack; a host that does not know the fleet's size
-    yet has none of the slack.
+    In any window the fleet may send to one service as many repeats as a ratio
+    of the service's requests plus a slack. Each host uses the ratio of its own
+    requests and an equal part of the slack; a host that does not know the
+    fleet's size yet gets none of the slack.
 
     Attributes:
-        windows: What was sent lately, by service.
+        windows: Times of recent requests and repeats, by service.
     """
 
     def __init__(
@@ -52,13 +52,13 @@
         fleet_size: Callable[[], int | None],
         metrics: Metrics,
     ):
-        """Bound by `settings.attempts`.
+        """Use the limits in `settings.attempts`.
 
         Args:
             settings: The host's settings.
             fleet_size: Returns the number of hosts, never too low, or None
                 if it is not known.
-            metrics: Where what is not allowed is counted.
+            metrics: Where refused repeats are counted.
         """
         self.set_limits(settings)
         self.fleet_size = fleet_size
@@ -69,7 +69,7 @@
         )
 
     def set_limits(self, settings: Settings) -> None:
-        """Bound by `settings.attempts` from now on."""
+        """Use the limits in `settings.attempts` from now on."""
         limits = settings.attempts
         self.ratio = limits.fleet_ratio * RATIO_SHARE
         self.slack = limits.fleet_slack * SLACK_SHARE
@@ -77,12 +77,12 @@
         self.bounded = limits.fleet_ratio > 0
 
     def request(self, service: ServiceId) -> None:
-        """Note a request for `service`."""
+        """Record a request for `service`."""
         if self.bounded:
             self._window(service).requests.append(trio.current_time())
 
     def spend(self, service: ServiceId) -> bool:
-        """Take leave for one more attempt, and return whether there is any."""
+        """Record one more attempt and return True if the budget allows it."""
         if not self.bounded:
             return True
         window = self._window(service)
--- a/agatetack/attempts/hedger.py
+++ b/agatetack/attempts/hedger.py
@@ -1,4 +1,4 @@
-"""Start second attempts of requests whose answers are late."""
+"""Start second attempts for requests whose answers are late."""
 
 import heapq
 import itertools
@@ -9,17 +9,18 @@
 from agatetack.ids import Deadline
 
 SHORTEST_SLEEP_SECONDS = 0.001
-"""Timers are looked at no more often, as most are stopped when due."""
+"""Minimum time between two checks of the timers; most are stopped before they
+are due."""
 
 LateAction = Callable[[], Awaitable[None]]
-"""What to do when an answer is late."""
+"""Callback for a late answer."""
 
 
 class LateTimer:
     """One request's timer; it does nothing once it is stopped.
 
     Attributes:
-        action: What to do, or None once stopped or done.
+        action: Callback to run when due; None once stopped or started.
     """
 
     __slots__ = ("action",)
@@ -29,15 +30,15 @@
         self.action: LateAction | None = action
 
     def stop(self) -> None:
-        """Do nothing when the timer is due."""
+        """Cancel the timer."""
         self.action = None
 
 
 class Hedger:
-    """Timers of all requests, in one task.
+    """Runs the timers of all requests in one task.
 
-    Nearly every answer comes in time, so a timer must cost next to nothing:
-    it is an entry in a heap, not a task and a cancel scope for each request.
+    Nearly every answer comes in time, so a timer must be cheap: it is an
+    entry in a heap, not a task and a cancel scope for each request.
     """
 
     def __init__(self) -> None:
@@ -56,7 +57,7 @@
         return timer
 
     async def run(self) -> None:
-        """Run what is due; for ever."""
+        """Run the callbacks of due timers until cancelled."""
         async with trio.open_nursery() as nursery:
             while True:
                 self._start_due(nursery)
--- a/agatetack/attempts/looking.py
+++ b/agatetack/attempts/looking.py
@@ -1,9 +1,9 @@
-"""Look at a target before a request is sent there, and choose another if bad.
+"""Probe a target just before a request is sent, and choose another if bad.
 
-Load shifts within milliseconds, and what is known of it is some 70 ms old. A
-target that turned slow meanwhile takes several times as long for a request
-that it starts then, and one that went away or is cut off takes all of its
-time; a request that must not be repeated is lost by either.
+Load changes within milliseconds, and load reports are some 70 ms old. A target
+that became slow in the meantime takes several times as long for a request, and
+one that crashed or is unreachable uses up all of the request's time; either way
+a request that must not be repeated fails.
 """
 
 import dataclasses
@@ -27,27 +27,27 @@
 from agatetack.targets.state import LoadReport, TargetState
 
 MOST_LOOKS = 3
-"""Targets that are looked at for one attempt; with a quarter of them slow at
-any time the third is slow as well in one case of sixty."""
+"""Maximum number of targets probed for one attempt. If a quarter of the
+targets are slow at any time, all three are slow in one case of sixty."""
 
 LOOK_SECONDS = 0.08
-"""Longest time for a target to say its load: a way between failure domains and
-back takes 3 ms, and a busy host some 20 ms more to read the answer."""
+"""Timeout of a pre-send probe: a round trip between failure domains takes 3 ms,
+and a busy host needs some 20 ms more to read the answer."""
 
 LOOK_SHARE = 0.1
-"""Longest part of the time left that one look may take."""
+"""Maximum share of the remaining time that one pre-send probe may take."""
 
 FRESH_SECONDS = 0.01
-"""A report that is younger than this is believed without a look."""
+"""A load report younger than this is used without a pre-send probe."""
 
 BAD_SLOWNESS = 2.0
-"""Slowness from which on another target is looked for."""
+"""Slowness above which another target is chosen."""
 
 decisions = DecisionLog("attempts")
 
 
 class Verdict(enum.Enum):
-    """What a look at a target showed."""
+    """Result of a pre-send probe."""
 
     ABLE = "able"
     SILENT = "silent"
@@ -64,22 +64,23 @@
     Verdict.COLD: AttemptResult.CANCELLED,
     Verdict.UNWILLING: AttemptResult.CANCELLED,
 }
-"""What a verdict says against its target; one that is only busy or slow now
-does not speak against it."""
+"""Results with which permits are released, by verdict. A target that is only
+busy or slow for the moment does not count as failed."""
 
 
 class LookingAdmission(AdmissionController):
-    """Gives leave for targets that show themselves able to take a request.
+    """Grants permits only for targets whose pre-send probe shows no problem.
 
-    Measured with 36 targets that are slow by 7 in a quarter of their time:
-    2.2 % of the requests were sent to one that had turned slow since its last
-    report, and none of these that must not be repeated was answered in time.
+    Without such probes and with 36 targets that were slower by a factor of 7
+    in a quarter of the time, 2.2 % of the requests were sent to a target that
+    had become slow since its last report. Those of them that must not be
+    repeated all missed their deadlines.
     """
 
     def __init__(
         self, inner: AdmissionController, look: TargetLook, metrics: Metrics
     ):
-        """Ask `inner` for leave and look before it is used."""
+        """Probe the targets of the permits that `inner` grants."""
         self.inner = inner
         self.look = look
         self.looks = metrics.counter(
@@ -88,7 +89,7 @@
         )
 
     async def acquire(self, wanted: PermitRequest) -> Result[Permit, Refusal]:
-        """Return a permit, or why the request is refused as not run."""
+        """Return a permit, or the refusal of the request as not run."""
         for _ in range(MOST_LOOKS):
             result = await self.inner.acquire(wanted)
             if isinstance(result, Failure):
@@ -104,15 +105,15 @@
         return await self.inner.acquire(wanted)
 
     def retry_at(self, route: Route) -> Deadline:
-        """Return when a caller that was refused should ask again."""
+        """Return when a refused caller should retry."""
         return self.inner.retry_at(route)
 
     async def _look_at(self, permit: Permit, wanted: PermitRequest) -> Verdict:
-        """Return whether the target is able to take the request now."""
+        """Return whether the permit's target can take the request now."""
         target = permit.target
         now = Deadline(trio.current_time())
         if target.rate_limit.rate is not None:
-            # It counts a look as a request.
+            # The target counts a probe as a request against its rate limit.
             return Verdict.ABLE
         if _is_fresh(target, now):
             slow = target.report.slowness > BAD_SLOWNESS
@@ -130,10 +131,10 @@
         verdict = _judge(report)
         now = Deadline(trio.current_time())
         if verdict is Verdict.ABLE and target.warms_up(now) and not known_cold:
-            # It turned cold without a word, and the permit was for a warm one.
+            # It became cold without a report; the permit assumes a warm one.
             verdict = Verdict.COLD
         if not target.is_willing(now):
-            # It said so to the look, or meanwhile to another request.
+            # It said so in answer to the probe or to another request.
             verdict = Verdict.UNWILLING
         self.looks.inc({"result": verdict.value})
         if verdict is not Verdict.ABLE:
@@ -158,7 +159,7 @@
         return Verdict.SILENT
     if report.slowness > BAD_SLOWNESS:
         return Verdict.SLOW
-    # The request that waits has a place here and is not at the target yet.
+    # The report does not count the request that the permit was granted for.
     if report.in_flight >= report.slots:
         return Verdict.FULL
     return Verdict.ABLE
--- a/agatetack/attempts/once.py
+++ b/agatetack/attempts/once.py
@@ -1,4 +1,4 @@
-"""Run a never-repeated request: one claim, at most one run."""
+"""Run a never-repeated request at most once, under one claim."""
 
 import dataclasses
 
@@ -20,18 +20,18 @@
 from agatetack.unique import new_attempt_id
 
 RELEASE_SHARE = 0.1
-"""Share of the time left that is kept for releasing an unused claim."""
+"""Share of the remaining time reserved for releasing an unused claim."""
 
 
 @dataclasses.dataclass(slots=True)
 class OnceState:
-    """How far one never-repeated request has come.
+    """Progress of one never-repeated request.
 
     Attributes:
-        claim: The leave to dispatch.
-        tried: Targets that are known not to have run it.
+        claim: The claim under which the request is sent.
+        tried: Targets tried; all but the last are known not to have run it.
         failure: The last attempt's failure, or None.
-        sent: Attempts of which a target may have seen anything.
+        sent: Attempts of which a target may have received anything.
     """
 
     claim: Claim
@@ -56,15 +56,15 @@
         metrics: Metrics,
         fleet: FleetBudget | None = None,
     ):
-        """Ask `claims` for leave before each dispatch.
+        """Take a claim from `claims` before a request is sent.
 
         Args:
             settings: The host's settings.
-            claims: Who may dispatch.
-            admission: Who may send to a target.
+            claims: Grants claims on requests.
+            admission: Grants permits to send to a target.
             single: Makes attempts.
             metrics: Where retries are counted.
-            fleet: What the fleet may send again; one of its own if None.
+            fleet: The fleet's budget of repeats; a separate one if None.
         """
         self.fleet = fleet or FleetBudget(settings, lambda: None, metrics)
         self.limits = settings.attempts
@@ -85,7 +85,7 @@
         try:
             return await self._run_claimed(route, request, state)
         except trio.Cancelled:
-            # The caller left before anything was sent.
+            # The caller disconnected before anything was sent.
             with trio.CancelScope(shield=True):
                 await self.claims.release(state.claim)
             raise
@@ -107,8 +107,8 @@
             )
             held = permit.unwrap()
             state.tried.add(held.target.id)
-            # From here on the caller's leaving must not cut the work: a
-            # target that is cut may or may not have run the request.
+            # From here on a disconnect of the caller must not cancel the
+            # attempt: it would be unknown whether the target ran the request.
             with trio.CancelScope(shield=True):
                 result = await self.single.run(plan, held)
                 if isinstance(result, Success):
@@ -128,8 +128,8 @@
     async def _permit(
         self, route: Route, request: CallerRequest, state: OnceState
     ) -> Result:
-        # A claim that is not used has to be released, and that be read back,
-        # before the caller can be told that nothing was run.
+        # Before a caller can be told that nothing was run, the unused claim
+        # has to be released and the release read back.
         left = request.deadline - trio.current_time()
         wanted = PermitRequest(
             route=route,
@@ -154,7 +154,10 @@
     async def _give_up(
         self, refusal: Refusal, state: OnceState
     ) -> Result[Answer, Refusal]:
-        """Say "not run" only once the claim's release stands in the log."""
+        """Return the refusal.
+
+        Its outcome is "not run" only once the claim's release is in the log.
+        """
         ran = state.failure is not None and (
             state.failure.outcome is not Outcome.NOT_RUN
         )
--- a/agatetack/attempts/quantile.py
+++ b/agatetack/attempts/quantile.py
@@ -1,15 +1,15 @@
-"""Learn after how long a route's answers are late."""
+"""Estimate the latency above which a route's answers count as late."""
 
 from collections import deque
 
 SAMPLES = 512
-"""Latest latencies that the quantile is taken over."""
+"""Number of latest latencies that the quantile is computed from."""
 
 RECOMPUTE_EVERY = 64
-"""Samples between two computations; sorting each time would cost too much."""
+"""Samples between two computations; sorting for each one is too expensive."""
 
 MIN_SAMPLES = 64
-"""Samples needed before a quantile means anything."""
+"""Samples needed before a quantile is meaningful."""
 
 
 class LatencyQuantile:
@@ -21,14 +21,14 @@
     """
 
     def __init__(self, quantile: float):
-        """Learn `quantile`."""
+        """Start without samples."""
         self.quantile = quantile
         self.samples: deque[float] = deque(maxlen=SAMPLES)
         self.value: float | None = None
         self.since = 0
 
     def add(self, seconds: float) -> None:
-        """Take one latency, in seconds."""
+        """Add one latency, in seconds."""
         self.samples.append(seconds)
         self.since += 1
         if self.since < RECOMPUTE_EVERY or len(self.samples) < MIN_SAMPLES:
--- a/agatetack/attempts/race.py
+++ b/agatetack/attempts/race.py
@@ -1,4 +1,4 @@
-"""Run an idempotent request: retries, hedges, first answer wins."""
+"""Run an idempotent request with retries and hedges; first answer wins."""
 
 import dataclasses
 import functools
@@ -40,31 +40,33 @@
 log = PartLog("attempts")
 
 ON_NEW = frozenset({RetryReason.HEDGE, RetryReason.STALLED})
-"""Second attempts that go on a new connection, as the first may be late
-because open connections have gone silent."""
+"""Second attempts that use a new connection, as the first one may be late
+because open connections no longer deliver anything."""
 
 BEFORE_BODY = frozenset(
     {RetryReason.CONNECT_FAILED, RetryReason.TARGET_UNWILLING}
 )
-"""Failures that come before any byte of the request's body is read. After
-others a streamed body lacks its begin, also where the target did not run."""
+"""Failures that occur before any byte of the request's body is read. After
+others the start of a streamed body is lost, even if the target did not run the
+request."""
 
 LEAST_LEFT = 2
-"""Attempts that the fleet's budget must still allow before one is spent on a
-hedge; the rest is for requests that would fail otherwise."""
+"""Attempts that the fleet's budget must still allow for a hedge to be sent;
+the rest is reserved for requests that would fail otherwise."""
 
 FORGET_SECONDS = 60.0
-"""How often routes that are no more are looked for."""
+"""Interval at which the state of removed routes is dropped."""
 
 STALL_FACTOR = 3.0
-"""An answer this many times later than usual may never come."""
+"""Multiple of a route's late threshold after which an answer counts as
+stalled: it may never come."""
 
 SHORTEST_STALL_SECONDS = 0.05
-"""No answer is taken for stalled before this time."""
+"""Minimum time after which an answer counts as stalled."""
 
 UNLEARNED_STALL_SHARE = 1 / 3
-"""Share of the time left after which an answer counts as stalled on a route
-whose usual latency is not known yet."""
+"""Share of the remaining time after which an answer counts as stalled on a
+route whose usual latency is not known yet."""
 
 
 class AttemptRunner:
@@ -73,8 +75,8 @@
     Attributes:
         retries: Budget of retries, by route.
         hedges: Budget of hedges, by route.
-        late_after: When answers are late, by route.
-        hedger: Timers of the requests under way; its `run` must run.
+        late_after: Latency above which answers are late, by route.
+        hedger: Timers of the requests in progress; its `run` must run.
     """
 
     def __init__(
@@ -89,10 +91,10 @@
 
         Args:
             settings: The host's settings.
-            admission: Who may send to a target.
+            admission: Grants permits to send to a target.
             single: Makes attempts.
             metrics: Where retries are counted.
-            fleet: What the fleet may send again; one of its own if None.
+            fleet: The fleet's budget of repeats; a separate one if None.
         """
         self.fleet = fleet or FleetBudget(settings, lambda: None, metrics)
         limits = settings.attempts
@@ -118,7 +120,7 @@
             route: The request's route; its requests are idempotent.
             request: What to send.
             hedged: Whether a late answer may start a second attempt.
-            priority: Which waiting requests go first.
+            priority: The request's priority among waiting requests.
         """
         self.retries.of(route.id).earn()
         self.hedges.of(route.id).earn()
@@ -140,7 +142,7 @@
         return Success(state.answer)
 
     async def forget_routes(self, routes: RouteSource) -> None:
-        """Forget what was learned of routes that are no more; for ever."""
+        """Drop the state of removed routes periodically, until cancelled."""
         while True:
             await trio.sleep(FORGET_SECONDS)
             if routes.table is None:
@@ -154,7 +156,7 @@
     async def _race(
         self, state: RaceState, permit: Permit, hedged: bool
     ) -> None:
-        """Make attempts in turn, with another beside one that is late."""
+        """Make attempts in sequence, and one in parallel to a late one."""
         self._set_timer(state, hedged)
         try:
             with state.in_turn:
@@ -164,13 +166,13 @@
                 state.timer.stop()
             state.over = True
             # Cancelling an attempt closes its connection, which tells the
-            # target that its work is of no more use.
+            # target that its answer is no longer needed.
             if state.second is not None:
                 state.second.scope.cancel()
 
     def _set_timer(self, state: RaceState, hedged: bool) -> None:
         if not state.request.replayable:
-            # Two attempts would each send a part of the one stream.
+            # Two attempts would each read a part of the same stream.
             return
         late_after = self._hedge_after(state.route)
         if hedged and late_after is not None:
@@ -201,7 +203,7 @@
             permit = await self._retry_permit(state)
 
     async def _hedge(self, state: RaceState) -> None:
-        """Make a second attempt while the first one is late."""
+        """Send a hedge if the first attempt is still in progress."""
         spare = self.fleet.left(state.route.service) >= LEAST_LEFT
         if state.needs_second() and spare and self._spend(state, self.hedges):
             await self._second(state, RetryReason.HEDGE)
@@ -209,9 +211,9 @@
             self._set_stall_timer(state)
 
     async def _fail_over(self, state: RaceState) -> None:
-        """Make a second attempt while the first one brings nothing at all.
+        """Make a second attempt if the first one has stalled.
 
-        Its connection may have gone silent for good, so that it would wait
+        Its connection may never deliver anything again, so that it would wait
         until its deadline.
         """
         if state.needs_second() and self._spend(state, self.retries):
@@ -223,7 +225,7 @@
         return state.started < most
 
     def _spend(self, state: RaceState, budgets: RouteBudgets) -> bool:
-        """Take leave for one more attempt of both budgets, or of neither."""
+        """Spend one more attempt from both budgets, or from neither."""
         if not self._may_start(state):
             return False
         budget = budgets.of(state.route.id)
@@ -250,8 +252,9 @@
             with second.scope:
                 await self._attempt(state, permit, reason)
         except Exception as error:
-            # This task serves all routes; the request itself goes on. It may
-            # have been sent by then, so "not run" can't be said any more.
+            # This task serves all routes and must not end; the request goes
+            # on. The attempt may have been sent, so the request can no longer
+            # be refused as "not run".
             state.may_have_run = True
             log.error("A second attempt failed: %r.", error)
         state.second = None
@@ -342,8 +345,8 @@
     def _hedge_after(self, route: Route) -> float | None:
         """Return the seconds after which an answer is late enough to hedge.
 
-        A route that says within which time its answers are wanted goes by
-        that: what is usual may already be too late.
+        For a route with a target latency it is a share of that: an answer at
+        the usual latency may already be too late.
         """
         share = self.limits.hedge_latency_share
         if share and route.target_latency_seconds:
--- a/agatetack/attempts/rules.py
+++ b/agatetack/attempts/rules.py
@@ -1,4 +1,4 @@
-"""Tell which failures allow a retry, and word them for callers."""
+"""Map attempt failures to retry reasons and to refusals for callers."""
 
 import dataclasses
 
@@ -28,12 +28,12 @@
 
 
 def retry_reason(failure: AttemptFailure | None) -> RetryReason | None:
-    """Return why the attempt after `failure` is made; None for the first."""
+    """Return the reason to retry after `failure`; None for a first attempt."""
     return None if failure is None else RETRY_REASONS[failure.reason]
 
 
 def failure_refusal(failure: AttemptFailure) -> Refusal:
-    """Return what a caller is told when `failure` was the last one."""
+    """Return the refusal of a request whose last attempt was `failure`."""
     reason = failure.reason
     plain = refuse(reason, DETAILS.get(reason, reason.value))
     return dataclasses.replace(plain, outcome=failure.outcome)
--- a/agatetack/attempts/single.py
+++ b/agatetack/attempts/single.py
@@ -1,4 +1,4 @@
-"""Make one attempt at one target and note what it shows."""
+"""Make one attempt at one target and record its result."""
 
 import dataclasses
 
@@ -36,35 +36,35 @@
     RefusalReason.SHED_BY_TARGET: AttemptResult.SHED,
     RefusalReason.TARGET_UNWILLING: AttemptResult.CANCELLED,
 }
-"""What a failure's reason says of the target; else `FAILED`."""
+"""Results of attempts by failure reason; `FAILED` for all other reasons."""
 
 decisions = DecisionLog("attempts")
 
 FAILING_STATUSES = frozenset({500, 502, 503, 504})
-"""Answers that may speak against the target; 501 and 505 are about the
+"""Statuses that may be caused by a faulty target; 501 and 505 depend on the
 request alone."""
 
 BYTES_WEIGHT = 0.1
-"""Weight of one answer in the moving size of a target's answers."""
+"""Weight of one answer in the moving average of a target's answer sizes."""
 
 FAIL_FAST_RATIO = 0.75
-"""A failing answer in less than this share of the target's usual time is
-taken for the target's own failure, and not for work that it did.
+"""A failing answer that takes less than this share of the target's usual
+latency counts as a fault of the target, which did no work for the request.
 
-With a half, noise lets some of these answers count as usual, which lowers what
-is usual until all of them do.
+With 0.5, noise lets some of these answers count as regular ones, which lowers
+the usual latency until all of them do.
 """
 
 
 def fails_fast(status: int, latency: float, target: TargetState) -> bool:
-    """Return whether an answer shows a target that fails without working.
+    """Return whether a target failed a request without working on it.
 
-    A target without any earlier answer has shown no work at all yet.
+    Of a target without any earlier answer each failing answer counts.
 
     Args:
         status: The answer's HTTP status.
         latency: Seconds from the attempt's start to the answer's headers.
-        target: Who answered.
+        target: The target that answered.
     """
     if status not in FAILING_STATUSES:
         return False
@@ -73,10 +73,10 @@
 
 
 class PermittedBody(Body):
-    """An answer's body that gives its permit back when it ends.
+    """An answer's body that releases its permit when it ends.
 
     Attributes:
-        shown: What the answer says of its target, if it comes whole.
+        shown: The attempt's result if the body arrives completely.
     """
 
     def __init__(self, body: Body, permit: Permit, shown: AttemptResult):
@@ -88,7 +88,7 @@
         self.released = False
 
     def receive_nowait(self) -> bytes | None:
-        """Return bytes that are here already, or None."""
+        """Return bytes that have arrived already, or None."""
         return self.body.receive_nowait()
 
     async def receive(self) -> bytes:
@@ -96,8 +96,8 @@
         try:
             data = await self.body.receive()
         except Exception:
-            # A cancelled read says nothing of the target: whoever gave it up
-            # closes the body.
+            # A cancelled read is not caught, as it is not the target's fault;
+            # whoever cancelled it closes the body.
             self.release(AttemptResult.FAILED)
             raise
         if not data:
@@ -105,19 +105,19 @@
         return data
 
     def take_whole(self) -> bytes | None:
-        """Return the whole body if all of it is here and none was taken."""
+        """Return the whole body if all of it arrived and none was read."""
         content = self.body.take_whole()
         if content is not None:
             self.release(self.shown)
         return content
 
     async def aclose(self) -> None:
-        """Free the body and its permit."""
+        """Close the body and release its permit."""
         self.release(AttemptResult.CANCELLED)
         await self.body.aclose()
 
     def release(self, result: AttemptResult) -> None:
-        """Give the permit back; a second time has no effect."""
+        """Release the permit; further calls have no effect."""
         if not self.released:
             self.released = True
             self.permit.release(result)
@@ -125,7 +125,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class AttemptPlan:
-    """What an attempt is to do.
+    """Parameters of an attempt.
 
     Attributes:
         route: The request's route.
@@ -133,7 +133,7 @@
         deadline: When to give up.
         freshness: Which connections may be used.
         attempt_id: The attempt's id, or None to make one.
-        retry_reason: Why it is made, or None for a request's first.
+        retry_reason: Why it is made, or None for a request's first attempt.
     """
 
     route: Route
@@ -145,14 +145,14 @@
 
 
 def _held(content: bytes, length: int) -> BytesBody:
-    """Return a body in memory; it keeps the length announced for HEAD."""
+    """Return a body in memory with the length announced, also for HEAD."""
     held = BytesBody(content)
     held.length = length
     return held
 
 
 class SingleAttempt:
-    """Makes attempts and tells permits, metrics and crash tracker."""
+    """Makes attempts and reports to permits, metrics and crash tracker."""
 
     def __init__(
         self,
@@ -219,7 +219,7 @@
         return Success(answer)
 
     def _tell_sent(self, plan: AttemptPlan, permit: Permit) -> None:
-        """Hold what an attempt is sent by: its target's load, and its age."""
+        """Trace the load report that the attempt is sent on, and its age."""
         target = permit.target
         report = target.report
         decisions.held(
@@ -250,10 +250,10 @@
     def _note_answer(
         self, permit: Permit, answer: Answer, latency: float
     ) -> AttemptResult:
-        """Tell of an answer's header, and return what it shows."""
+        """Record an answer's latency and return the attempt's result."""
         self.metrics.target_answered(permit.target.id, latency)
         if fails_fast(answer.status, latency, permit.target):
-            # Its time would make a target that does no work look the best.
+            # Its latency would rank a target that does no work first.
             return AttemptResult.FAILED
         permit.answered_headers(latency)
         return AttemptResult.ANSWERED
@@ -261,7 +261,7 @@
     async def _hold_small(
         self, plan: AttemptPlan, answer: Answer
     ) -> AttemptFailure | None:
-        """Read a small body to its end, so that a cut one can be retried.
+        """Buffer a small body, so that a truncated one can be retried.
 
         Returns:
             Why the body could not be read, or None.
--- a/agatetack/attempts/state.py
+++ b/agatetack/attempts/state.py
@@ -1,4 +1,4 @@
-"""Hold how far one idempotent request's attempts have come."""
+"""Track the attempts of one idempotent request."""
 
 import dataclasses
 
@@ -15,7 +15,7 @@
 
 @dataclasses.dataclass(slots=True)
 class SecondAttempt:
-    """A second attempt that is under way.
+    """A second attempt that is in progress.
 
     Attributes:
         scope: Cancels it.
@@ -30,23 +30,23 @@
 
 @dataclasses.dataclass(slots=True)
 class RaceState:
-    """How far one request's attempts have come.
+    """Progress of one request's attempts.
 
     Attributes:
         route: The request's route.
         request: The request.
-        priority: Which waiting requests go first.
-        started: Attempts begun.
-        open: Attempts under way.
-        tried: Targets that have had the request.
+        priority: The request's priority among waiting requests.
+        started: Attempts started, without those that failed unsent.
+        open: Attempts in progress.
+        tried: Targets chosen for an attempt, which later ones avoid.
         answer: The first answer, or None.
-        refusal: Why no permit was got, or None.
+        refusal: Why no permit was granted, or None.
         failure: The last attempt's failure, or None.
-        may_have_run: Whether any attempt can have run.
-        second: The second attempt under way, or None.
-        timer: Starts a second attempt, or None if there must be none.
-        in_turn: Cancels the attempts that are made in turn.
-        over: Whether a later answer is of no more use.
+        may_have_run: Whether a target may have run any failed attempt.
+        second: The second attempt in progress, or None.
+        timer: Starts a second attempt; None if none is allowed.
+        in_turn: Cancels the first attempt and its retries.
+        over: Whether the request has ended, so that answers are discarded.
     """
 
     route: Route
@@ -67,10 +67,10 @@
     over: bool = False
 
     def needs_second(self) -> bool:
-        """Return whether just one attempt is under way and none answered."""
+        """Return whether one attempt is in progress and none answered."""
         return self.open == 1 and self.answer is None and not self.over
 
     def note_failure(self, failure: AttemptFailure) -> None:
-        """Take the failure of one attempt."""
+        """Record the failure of one attempt."""
         self.failure = failure
         self.may_have_run |= failure.outcome is not Outcome.NOT_RUN
--- a/agatetack/attempts/test_looking.py
+++ b/agatetack/attempts/test_looking.py
@@ -1,8 +1,8 @@
-"""Test that requests pass over targets that turned bad since their report.
+"""Test that requests avoid targets that became bad since their last report.
 
-The pattern: targets that share machines with others turn slow within
-milliseconds, in spells of half a second and a quarter of their time, while
-reports are some 70 ms old; targets crash and are cut off between two reports.
+Targets that share machines with others become slow within milliseconds, for
+half a second at a time and a quarter of the time in all, while reports are some
+70 ms old. Targets also crash or become unreachable between two reports.
 """
 
 import pytest
@@ -44,7 +44,7 @@
 
 
 class Leave(Permit):
-    """Leave for one target; notes what it was given back with."""
+    """A permit that records the result it was released with."""
 
     def __init__(self, target):
         self.target = target
@@ -61,7 +61,7 @@
 
 
 class InOrder(AdmissionController):
-    """Gives leave for the first target that is not to be avoided."""
+    """Grants permits for the first target that is not to be avoided."""
 
     def __init__(self, targets):
         self.targets = targets
@@ -83,7 +83,7 @@
 
 
 class ScriptedLook:
-    """Says what each target would say, by its place in the list."""
+    """Returns a scripted report for each target, in the targets' order."""
 
     def __init__(self, targets, says):
         self.says = dict(
@@ -131,7 +131,7 @@
         ([FULL, GOOD], [CANCELLED, None]),
         ([SILENT, GOOD], [FAILED, None]),
         ([SLOW, SILENT, FULL, GOOD], [CANCELLED, FAILED, CANCELLED, None]),
-        # After some looks a request takes what comes.
+        # After the maximum number of probes any target is accepted.
         ([SLOW] * 5, [CANCELLED] * MOST_LOOKS + [None]),
     ],
 )
@@ -199,11 +199,11 @@
 @pytest.mark.parametrize(
     ("rate", "known_cold", "results"),
     [
-        # It turned cold without a word, and the permit was for a warm target.
+        # It became cold without a report; the permit assumes a warm target.
         (5.6, False, [CANCELLED, None]),
         # This host may send to it while it is cold.
         (5.6, True, [None]),
-        # Nothing bounds what it gets while it is cold.
+        # Requests to it are not limited while it is cold.
         (0.0, False, [None]),
     ],
 )
--- a/agatetack/attempts/test_race.py
+++ b/agatetack/attempts/test_race.py
@@ -222,7 +222,7 @@
     parts = Parts(ScriptedClient([SLOW]), admission=OpenAdmission(permits=1))
     result = await run_hedged(parts)
     assert isinstance(result, Success)
-    # A hedge and, later on, a stalled answer's attempt ask; neither waits.
+    # A hedge and, later, the attempt for a stalled answer; neither waits.
     assert [w.wait for w in parts.admission.wanted] == [True, False, False]
 
 
--- a/agatetack/attempts/test_single.py
+++ b/agatetack/attempts/test_single.py
@@ -1,4 +1,4 @@
-"""Check what one attempt says of its target."""
+"""Check the result with which an attempt releases its permit."""
 
 import pytest
 import trio
@@ -16,7 +16,7 @@
 )
 
 ANSWER_SECONDS = 0.01
-"""How long the scripted client takes."""
+"""Latency of the scripted client."""
 
 
 @pytest.mark.parametrize(
--- a/agatetack/attempts/test_support.py
+++ b/agatetack/attempts/test_support.py
@@ -1,4 +1,4 @@
-"""Stand in for what attempts need: targets, permits and claims."""
+"""Fakes of the target client, admission, crash tracker and claim store."""
 
 import dataclasses
 
@@ -59,7 +59,7 @@
 
 
 class CutBody(Body):
-    """A body that ends too early."""
+    """A truncated body."""
 
     length = 9
 
@@ -69,7 +69,7 @@
 
 
 class HungBody(Body):
-    """A body whose rest never comes."""
+    """A body whose content never arrives."""
 
     length = 9
 
@@ -78,7 +78,7 @@
 
 
 class ScriptedClient(TargetClient):
-    """Takes one step of a script for each call."""
+    """Performs one step of a script for each call."""
 
     def __init__(self, script):
         self.script = list(script)
@@ -138,7 +138,7 @@
 
 
 class OpenAdmission(AdmissionController):
-    """Permits a number of attempts, then refuses."""
+    """Grants a number of permits, then refuses."""
 
     def __init__(self, permits=100):
         self.permits = permits
@@ -158,7 +158,7 @@
 
 
 class Crashes(CrashTracker):
-    """Remembers what it was told; refuses after some crashes."""
+    """Records lost connections and refuses after a number of them."""
 
     def __init__(self, most=100):
         self.most = most
@@ -201,7 +201,7 @@
 
 @dataclasses.dataclass
 class Parts:
-    """All fakes of one case."""
+    """All fakes of one test case."""
 
     client: ScriptedClient
     admission: OpenAdmission = dataclasses.field(default_factory=OpenAdmission)
