--- a/agatetack/measure/budget.py
+++ b/agatetack/measure/budget.py
@@ -1,6 +1,6 @@
-"""Keep the work of measuring within the budget that operators set.
+"""Limit the cost of measuring targets to the budget that operators set.
 
-A bucket never goes into debt, starts empty and earns nothing at first, so a
+A bucket never goes below 0, starts empty and gets no tokens at first, so a
 host that restarts again and again spends nothing.
 """
 
@@ -9,22 +9,22 @@
 import trio
 
 BURST_SECONDS = 0.1
-"""Seconds of a share that may be saved up, so that pauses do not add up."""
+"""Longest pause whose unused tokens are saved, so that pauses do not add up."""
 
 START_SECONDS = 4.0
-"""Time after a start in which nothing is earned.
+"""Time after a start in which a bucket gets no tokens.
 
-Until the others have heard of a new host, their shares are too large; this
-is longer than a heartbeat timeout and two reads of the host list.
+Until the other hosts know of a new host, their shares are too large; this is
+longer than a heartbeat timeout and two reads of the host list.
 """
 
 
 class TokenBucket:
-    """A rate limit shared over the hosts of a fleet.
+    """One host's share of a rate limit for the whole fleet.
 
-    The burst is part of the figure and not above it: over any window of w
-    seconds a bucket spends at most `rate * (w + BURST_SECONDS)`, or one unit
-    of work more where a unit is larger than the burst.
+    The burst is saved from the rate and not granted on top of it: over any
+    window of w seconds a bucket spends at most `rate * (w + BURST_SECONDS)`,
+    or one unit of work more where a unit is larger than the burst.
 
     Attributes:
         fleet_rate: Units per second of the whole fleet.
@@ -44,9 +44,9 @@
         Args:
             fleet_rate: Units per second of the whole fleet.
             fleet_size: Returns the number of hosts, never too low.
-            smallest_burst: Units that can be saved up at least, so that the
-                largest single spend is possible at all.
-            start_seconds: Time after a start in which nothing is earned.
+            smallest_burst: Minimum capacity of the bucket in units, so that
+                the largest single spend is possible at all.
+            start_seconds: Time after a start in which it gets no tokens.
         """
         self.fleet_rate = fleet_rate
         self.fleet_size = fleet_size
@@ -61,7 +61,7 @@
         return self.fleet_rate / max(1, self.fleet_size())
 
     def refill(self) -> None:
-        """Add what the time since the last refill has earned."""
+        """Add the tokens for the time since the last refill."""
         now = trio.current_time()
         if now <= self.filled_at:
             return
@@ -72,7 +72,7 @@
         self.tokens = min(most, self.tokens + elapsed * rate)
 
     def take(self, amount: float = 1.0) -> bool:
-        """Spend `amount` if the bucket holds it; never partly."""
+        """Spend `amount`, or nothing and return False if there is less."""
         self.refill()
         if self.tokens < amount:
             return False
@@ -81,12 +81,12 @@
         return True
 
     def give_back(self, amount: float) -> None:
-        """Return what was taken for a piece of work and not needed."""
+        """Put back tokens that were taken and not needed."""
         self.tokens += amount
         self.spent -= amount
 
     def ready_at(self, amount: float = 1.0) -> float:
-        """Return when `amount` can be spent if nothing else is."""
+        """Return when `amount` can be spent if nothing else is spent."""
         self.refill()
         rate = self.rate
         if rate <= 0:
--- a/agatetack/measure/far_samples.py
+++ b/agatetack/measure/far_samples.py
@@ -1,8 +1,8 @@
-"""Pass on what other groups of a large fleet tell of their targets.
+"""Relay the load samples of a large fleet's other groups to this group.
 
-The first leader of a group hears each other group several times a second. Its
-group hears of all of them in one message at a time, as reading a message costs
-each host more than the samples in it.
+The first leader of a group receives samples from each other group several times
+a second. It combines those of all groups in one message for its own group, as
+reading a message costs each host more than the samples in it.
 """
 
 import dataclasses
@@ -16,11 +16,11 @@
 from agatetack.thrift_codec import encode
 
 PASS_ON_SECONDS = 0.25
-"""How long samples are gathered; far targets get few requests of this group,
-and are looked at before most of them."""
+"""How long samples are collected. Targets of other groups get few requests from
+this group, and are probed before most of them are sent."""
 
 MAX_SAMPLES = 32
-"""Most samples in one message."""
+"""Maximum number of samples in one message."""
 
 MS = 1000
 """Milliseconds in a second."""
@@ -28,11 +28,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class HeardSample:
-    """A sample that waits to be passed on.
+    """A sample that waits to be relayed.
 
     Attributes:
-        sample: What another group told last of a target.
-        at: When it came.
+        sample: The latest sample of a target from another group.
+        at: When it was received.
     """
 
     sample: LoadSample
@@ -40,23 +40,23 @@
 
 
 class FarSamples:
-    """Gathers samples of other groups while this host leads its own.
+    """Collects samples of other groups while this host leads its own.
 
     Attributes:
-        heard: The latest sample of each target that waits, by its hash.
+        heard: The latest sample that waits for each target, by target hash.
         any_heard: Set when there is something in `heard`.
-        urgent: Set when that can't wait.
+        urgent: Set when `heard` has to be relayed at once.
     """
 
     def __init__(self, exchange: Exchange):
-        """Pass on through `exchange`."""
+        """Relay through `exchange`."""
         self.exchange = exchange
         self.heard: dict[int, HeardSample] = {}
         self.any_heard = trio.Event()
         self.urgent = trio.Event()
 
     def note(self, sender: HostId, samples: Sequence[LoadSample]) -> None:
-        """Take what `sender` told, if it is for this host to pass on."""
+        """Collect the samples of `sender` if this host has to relay them."""
         exchange = self.exchange
         if not exchange.is_first_leader or sender in exchange.group_hosts():
             return
@@ -65,14 +65,14 @@
             self.heard[sample.target] = HeardSample(sample, now)
         if self.heard:
             self.any_heard.set()
-        # Until it is known that a target is cold nobody holds requests back.
+        # Hosts limit requests to a cold target only once they know it is cold.
         if any(sample.warm_up_ms for sample in samples):
             self.urgent.set()
 
     async def run(self) -> None:
-        """Pass on what was gathered, until cancelled."""
+        """Relay the collected samples until cancelled."""
         while True:
-            # An idle host must not wake at all.
+            # An idle host must not wake up at all.
             await self.any_heard.wait()
             self.any_heard = trio.Event()
             with trio.move_on_after(PASS_ON_SECONDS):
@@ -92,7 +92,7 @@
 
 
 def _aged(heard: HeardSample, now: Deadline) -> LoadSample:
-    """Return a sample that is older by the time that it waited."""
+    """Return the sample with its ages increased by the time it waited."""
     sample = heard.sample
     waited_ms = round((now - heard.at) * MS)
     sample.age_ms = (sample.age_ms or 0) + waited_ms
--- a/agatetack/measure/hashes.py
+++ b/agatetack/measure/hashes.py
@@ -1,4 +1,4 @@
-"""Name targets in messages between hosts by a short form of their names."""
+"""Identify targets in messages between hosts by hashes of their names."""
 
 from collections.abc import Set
 
@@ -10,11 +10,11 @@
 
 
 class TargetHashes:
-    """Finds targets by what messages call them.
+    """Finds targets by their hashes.
 
     Attributes:
         by_hash: The targets of the registry, as of `changes`.
-        changes: The registry's count of changes that `by_hash` goes by.
+        changes: The registry's change count at which `by_hash` was built.
     """
 
     def __init__(self, registry: TargetRegistry):
@@ -29,7 +29,7 @@
         return self.by_hash.get(number)
 
     def known(self) -> Set[int]:
-        """Return the short forms of all targets."""
+        """Return the hashes of all targets."""
         self._update()
         return self.by_hash.keys()
 
@@ -44,9 +44,9 @@
 
 
 def target_hash(process: ProcessId) -> int:
-    """Return the short form of one start of a target: a signed xxhash32.
+    """Return the hash of one start of a target: a signed xxhash32.
 
-    What is told of an earlier start names nothing that the receiver knows.
+    Reports of an earlier start match no target that the receiver knows.
     """
     unsigned = xxhash.xxh32_intdigest(process.encode())
     return unsigned - 2**32 if unsigned >= 2**31 else unsigned
--- a/agatetack/measure/http_probe.py
+++ b/agatetack/measure/http_probe.py
@@ -1,4 +1,4 @@
-"""Ask a target's load endpoint over HTTP."""
+"""Probe a target's load endpoint over HTTP."""
 
 import dataclasses
 from collections.abc import Mapping
@@ -24,22 +24,22 @@
 from agatetack.targets.state import ReportSource, TargetState
 
 MAX_IDLE = 64
-"""Most idle connections kept for later probes."""
+"""Maximum number of idle connections kept for later probes."""
 
 
 class Malformed(Exception):
-    """A load endpoint's answer holds no usable report."""
+    """A load endpoint's answer contains no usable report."""
 
 
 @dataclasses.dataclass(slots=True)
 class ReportParser:
-    """Collect a load report; the methods are called by httptools.
+    """Collects a load report; the methods are called by httptools.
 
     Attributes:
         headers: The answer's header fields, names in lower case.
-        fields: The same with those that come twice, in their order.
+        fields: The same in their order, with repeated fields.
         body: The answer's body.
-        head_complete: Whether all header fields are there.
+        head_complete: Whether all header fields have arrived.
         complete: Whether the answer has ended.
     """
 
@@ -50,25 +50,25 @@
     complete: bool = False
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Keep one header field."""
+        """Store one header field."""
         self.fields.append(Header(name.lower(), value))
         self.headers[name.decode("latin-1").lower()] = value.decode("latin-1")
 
     def on_headers_complete(self) -> None:
-        """Note the end of the header."""
+        """Record the end of the header."""
         self.head_complete = True
 
     def on_body(self, data: bytes) -> None:
-        """Keep a part of the body."""
+        """Store a part of the body."""
         self.body += data
 
     def on_message_complete(self) -> None:
-        """Note the answer's end."""
+        """Record the answer's end."""
         self.complete = True
 
 
 class HttpProbe(ProbeClient):
-    """GET the load path; the report stands in headers or a JSON body."""
+    """Sends GET to the load path; reads the headers or a JSON body."""
 
     def __init__(
         self,
@@ -77,15 +77,16 @@
         load_paths: Mapping[ServiceId, str] | None = None,
         pushbacks: Pushbacks | None = None,
     ):
-        """Keep the path and the names of the headers.
+        """Take the path and the names of the headers from the settings.
 
         Args:
             settings: The host's settings.
-            load_reader: Reads load reports; by the headers of the settings
-                if None.
-            load_paths: Load paths of services that have one of their own.
-            pushbacks: Told of answers that bring no report, too; nobody if
-                None.
+            load_reader: Reads load reports; if None, from the headers that
+                the settings name.
+            load_paths: Load paths of services that have their own, by service.
+                If None, the path of the settings is used for all.
+            pushbacks: Records pushback in answers, also in those without a
+                report; if None, it is ignored.
         """
         self.pushbacks = pushbacks
         self.settings = settings
@@ -97,8 +98,8 @@
     def can_ask(self, target: TargetState) -> bool:
         """Return whether the target's load path is known.
 
-        A host may know the targets before the document with the paths; asked
-        for another path, each of them would count it as a request.
+        A host may know the targets before the document with the paths, and a
+        target would count a GET of any other path as a request.
         """
         return self.load_paths is None or target.service in self.load_paths
 
@@ -183,10 +184,10 @@
 def read_report(
     report: ReportParser, reader: LoadReader, used_bytes: int
 ) -> ProbeAnswer:
-    """Return the report that headers, or else a JSON body, hold.
+    """Return the report from the headers, or else from a JSON body.
 
     Raises:
-        Malformed: Neither holds one.
+        Malformed: Neither contains one.
     """
     load = reader.read(
         {name.encode(): text.encode() for name, text in report.headers.items()}
@@ -205,7 +206,7 @@
 
 
 def _read_body(body: bytes, slots: int | None) -> ReadLoad:
-    """Return the report in a JSON body; `slots` is what a header said."""
+    """Return the report in a JSON body; `slots` is a header's value."""
     try:
         fields = orjson.loads(body) if body[:1] == b"{" else {}
         own_slots = fields.get("slots")
--- a/agatetack/measure/news.py
+++ b/agatetack/measure/news.py
@@ -1,4 +1,4 @@
-"""Tell which load reports say what the hosts that hear them don't know yet."""
+"""Select the load reports that are new to the hosts that receive them."""
 
 import dataclasses
 from collections.abc import Callable
@@ -10,26 +10,27 @@
 from agatetack.targets.state import LoadReport, TargetState
 
 TOLD_CHANGE = 0.15
-"""Change of a target's slowness that peers are told of at once.
+"""Relative change of a target's slowness that is sent to peers at once.
 
-Each probe told to all costs a host of 14 some 430 messages a second, a sixth
-of a core; changes alone are about a quarter of them.
+If each probe were sent to all peers, each host of a fleet of 14 would handle
+some 430 messages a second, which takes a sixth of a core; changes alone are
+about a quarter of them.
 """
 
 REPEAT_SECONDS = 1.0
-"""How often peers are told of a target that does not change."""
+"""Interval at which unchanged reports are sent again."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ToldReport:
-    """What was told of a target last.
+    """The report of a target that was sent last.
 
     Attributes:
-        slowness: How many times longer than usual work took there.
-        load: Requests there that the hearers don't know of otherwise.
+        slowness: Factor by which its work took longer than usual.
+        load: Requests there that the receivers know of only by the report.
         cold: Whether it was warming up.
-        rate: The rate that it named, or None.
-        repeat_at: When it is told again, even if nothing changes.
+        rate: The rate limit that it announced, or None.
+        repeat_at: When the report is sent again even if nothing changes.
     """
 
     slowness: float
@@ -40,28 +41,28 @@
 
 
 class ReportNews:
-    """What some hosts were told of each target.
+    """Tracks which report of each target was last sent to a set of hosts.
 
     Attributes:
-        told: What was told last, by start of a target.
+        told: The reports sent last, by process (one start of a target).
     """
 
     def __init__(
         self, registry: TargetRegistry, load: Callable[[LoadReport], int]
     ):
-        """Start with nothing told.
+        """Start with nothing sent.
 
         Args:
             registry: The targets.
-            load: Returns how many requests at a target the hearers learn of
-                by its report alone.
+            load: Returns how many requests at a target the receivers know of
+                only by its report.
         """
         self.registry = registry
         self.load = load
         self.told: dict[ProcessId, ToldReport] = {}
 
     def take(self, target: TargetState, report: LoadReport) -> bool:
-        """Return whether to tell `report`, which then counts as told."""
+        """Return whether to send `report`; if so it counts as sent."""
         load = self.load(report)
         now = Deadline(trio.current_time())
         cold = target.warmth.is_cold(now)
@@ -87,7 +88,7 @@
 
 
 def unseen_load(report: LoadReport) -> int:
-    """Return the requests at a target that no host tells of."""
+    """Return the requests at a target that no host reports as its own."""
     known = report.own_in_flight + report.told_in_flight
     return max(0, report.in_flight - known)
 
--- a/agatetack/measure/occupancy.py
+++ b/agatetack/measure/occupancy.py
@@ -1,13 +1,13 @@
-"""Tell the other hosts what this one has at each target, and hear theirs.
+"""Share how many requests each host has in flight at each target.
 
-Where each of many hosts sends a few requests a second, its own requests say
-little of a target's load. Each change is told at once, in a message of some
-30 bytes to each peer, so that the load of every target is known to within the
-time of a message.
+Where each of many hosts sends a few requests a second, a host's own requests
+say little about a target's load. Each change is sent at once, in a message of
+some 30 bytes to each peer, so that the known load of every target is only as
+old as a message takes.
 
-A slot that one host gives up at a full target would be taken by every host
-with a waiting request at once, and all but one of them would wait there. So
-each host takes such a slot in its turn, which is another for each target.
+When one host frees a slot at a full target, every host with a waiting request
+would use it at once, and all but one of these requests would wait at the
+target. So the hosts take turns in an order that differs by target.
 """
 
 from collections import Counter, defaultdict
@@ -26,26 +26,26 @@
 from agatetack.thrift_codec import MalformedMessage, decode, encode
 
 FORGET_SECONDS = 0.5
-"""How often the counts of hosts that are gone are looked for."""
+"""Interval at which the counts of hosts that left are dropped."""
 
 REPEAT_SECONDS = 1.0
-"""How often all counts are told again, as messages may be lost."""
+"""Interval at which all counts are sent again, as messages may be lost."""
 
 TURN_TRIPS = 1
-"""One-way times between failure domains until the next host's turn, in which
-the others are told that a slot was taken."""
+"""Length of a host's turn, as a multiple of the one-way time between failure
+domains; in this time the others learn that a slot was taken."""
 
 
 class Occupancy:
-    """What all hosts have at each target.
+    """All hosts' counts of requests in flight at each target.
 
     Attributes:
-        told: By target's hash, what each other host said that it has there.
-        said: What this host told last of each target.
-        told_since: Whether this host told of a change since it told all.
+        told: The counts that each other host reported, by target hash.
+        said: The count that this host sent last, by target.
+        told_since: Whether this host sent a change since it sent all counts.
         turn_seconds: Time between two hosts' turns to take a slot.
-        offers: Targets where a slot came free, by when it is this host's turn.
-        offered: Set when there is something in `offers`.
+        offers: When it is this host's turn, by target with a freed slot.
+        offered: Set when something was added to `offers`.
     """
 
     def __init__(
@@ -55,13 +55,13 @@
         metrics: Metrics,
         sharing: SampleExchange | None = None,
     ):
-        """Listen to the registry and to the peers.
+        """Subscribe to the registry and to messages of the peers.
 
         Args:
             registry: The targets.
             exchange: The other hosts.
-            metrics: Where drops are counted.
-            sharing: What else is told to the same hosts, if anything is.
+            metrics: Where dropped messages are counted.
+            sharing: Samples to be sent along with the counts, or None.
         """
         self.sharing = sharing
         self.own = HostId(registry.settings.host.id)
@@ -80,13 +80,13 @@
         exchange.subscribe(Topic.IN_FLIGHT, self._take)
 
     async def run(self) -> None:
-        """Repeat counts and offer slots in turn, until cancelled."""
+        """Repeat counts and offer freed slots in turn, until cancelled."""
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self._repeat_on)
             await self._offer_on()
 
     async def _repeat_on(self) -> None:
-        """Forget hosts that are gone and repeat counts, for ever."""
+        """Drop hosts that left and repeat counts, until cancelled."""
         repeat_at = trio.current_time()
         while True:
             await trio.sleep(FORGET_SECONDS)
@@ -97,10 +97,10 @@
                 self._repeat()
 
     def _repeat(self) -> None:
-        """Tell all counts again, and that all others are 0.
+        """Send all counts again; targets left out have a count of 0.
 
-        A peer that missed the end of a request would take its target for
-        fuller than it is until this host sends there again.
+        Otherwise a peer that missed the end of a request would overestimate
+        the target's load until this host sends a request there again.
         """
         busy = [t for t in self.registry.by_id.values() if t.in_flight]
         self.said = {target.process: target.in_flight for target in busy}
@@ -110,7 +110,7 @@
 
     def _changed(self, target: TargetState) -> None:
         if self.said.get(target.process, 0) == target.in_flight:
-            # A slot that goes from one request to the next changes nothing.
+            # A slot that passes from one request to the next changes no count.
             return
         self.said[target.process] = target.in_flight
         self.told_since = True
@@ -147,7 +147,7 @@
             self.sharing.take(message.samples)
 
     def _clear(self, sender: HostId, listed: set[int]) -> None:
-        """Take `sender` to have nothing at the targets that it left out."""
+        """Drop the counts of `sender` at targets that it did not list."""
         for number, hosts in list(self.told.items()):
             if sender in hosts and number not in listed:
                 del hosts[sender]
@@ -163,11 +163,11 @@
             self._note_room(target, target.in_flight + before)
 
     def _note_room(self, target: TargetState, before: int) -> None:
-        """Let whoever waits for a target have a slot that came free.
+        """Offer a freed slot to waiting requests, in turn if it was full.
 
         Args:
-            target: Where there is one request less.
-            before: How many there were.
+            target: The target with fewer requests than before.
+            before: Number of requests there before.
         """
         if before < target.slots:
             self.registry.notify(target.service)
@@ -184,7 +184,7 @@
         self.offered.set()
 
     async def _offer_on(self) -> None:
-        """Serve whoever waits for a slot when it is this host's turn."""
+        """Notify waiting requests of freed slots in this host's turns."""
         while True:
             self.offered = trio.Event()
             soonest = min(self.offers.values(), default=Deadline(float("inf")))
@@ -206,14 +206,14 @@
             self.registry.notify(service)
 
     def _mark_told(self) -> None:
-        """Mark the targets of which only some hosts tell what they have."""
+        """Set for each target whether all hosts send their counts of it."""
         for target in self.registry.by_id.values():
             target.told_by_all = self.exchange.shares_target(
                 target.id, target.failure_domain
             )
 
     def _forget_gone(self) -> None:
-        """Forget what was told of targets and by hosts that are gone."""
+        """Drop the counts of removed targets and of hosts that left."""
         for number in self.told.keys() - self.hashes.known():
             del self.told[number]
         live = {peer.id for peer in self.exchange.near_peers()}
--- a/agatetack/measure/probe.py
+++ b/agatetack/measure/probe.py
@@ -1,4 +1,4 @@
-"""Define how a target's load endpoint is asked."""
+"""Define the interface for probes of a target's load endpoint."""
 
 import abc
 import dataclasses
@@ -13,7 +13,7 @@
 
 
 class ProbeFailure(enum.Enum):
-    """Why a probe brought no report."""
+    """Why a probe returned no report."""
 
     REFUSED = "refused"
     TIMEOUT = "timeout"
@@ -23,16 +23,16 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ProbeAnswer:
-    """What a load endpoint said.
+    """The answer of a load endpoint.
 
     Attributes:
-        in_flight: Requests running or waiting there.
-        slots: Requests that run at the same time, or None if not said.
-        state: What it says of its state.
-        used_bytes: Bytes sent and received for it.
-        slowness: How many times longer than usual work takes there now.
-        instance: Which instance answered, if it says so.
-        warm_up_seconds: How long it still warms up; None if it can't be read.
+        in_flight: Requests running or waiting at the target.
+        slots: Requests that it runs at the same time; None if not reported.
+        state: The state that it reports.
+        used_bytes: Bytes sent and received for the probe.
+        slowness: Factor by which its work takes longer than usual now.
+        instance: The instance that answered; None if not reported.
+        warm_up_seconds: Remaining warm-up time; None if it can't be read.
         headers: The headers of its answer, names in lower case.
     """
 
@@ -47,20 +47,20 @@
 
 
 class ProbeClient(abc.ABC):
-    """A way to ask a target's load endpoint."""
+    """Probes the load endpoints of targets."""
 
     def can_ask(self, target: TargetState) -> bool:
-        """Return whether it is known how `target` is asked."""
+        """Return whether it is known how to probe `target`."""
         return True
 
     @abc.abstractmethod
     async def probe(
         self, target: TargetState, deadline: Deadline, max_bytes: int
     ) -> Result[ProbeAnswer, ProbeFailure]:
-        """Return what the target says, or why it said nothing.
+        """Return the target's report, or why there is none.
 
         Args:
-            target: Whom to ask.
+            target: The target to probe.
             deadline: When to give up.
-            max_bytes: Most bytes to send and receive.
+            max_bytes: Maximum number of bytes to send and receive.
         """
--- a/agatetack/measure/prober.py
+++ b/agatetack/measure/prober.py
@@ -1,4 +1,4 @@
-"""Measure targets by probes, within budget, where it can change a choice."""
+"""Probe targets, within the budget, where a report can change a choice."""
 
 import random
 
@@ -19,44 +19,44 @@
 from agatetack.targets.state import ReportSource, TargetState
 
 PROBE_BYTES = 1024
-"""Most bytes that one probe may cost, both ways together."""
+"""Maximum number of bytes that one probe may send and receive together."""
 
 SHARING_SHARE = 0.5
 """Share of the byte budget that goes to samples sent to peers."""
 
 SAMPLE_BURST_BYTES = 4096
-"""Bytes of samples that may be saved up at least."""
+"""Minimum capacity of the bucket of bytes for samples."""
 
 NEWS_START_SECONDS = 0.2
-"""Time after a start in which no news of targets are told.
+"""Time after a start in which no updates on targets are sent.
 
-Where each target has one host that probes it, the others are blind without
-its word: with 4 s, a fleet whose power was cut earned a quarter of what it
-could in the 2 s after its start. Shares are too large for as long, by the
-hosts not heard of yet.
+Where each target is probed by one host, the others depend on its updates: with
+4 s, a fleet that had lost power delivered a quarter of what it could in the 2 s
+after its start. For this time the hosts' shares of the budget are too large, as
+they don't know all other hosts yet.
 """
 
 LOOK_AGAIN_SECONDS = 0.05
-"""Longest time between two looks at a budget that is spent."""
+"""Maximum time between two checks of a budget that is spent."""
 
 LEAVING_PROBE_SECONDS = 1.0
-"""Least time between two probes of targets that may return."""
+"""Minimum time between two probes of leaving targets, which may return."""
 
 DRAWN_TARGETS = 3
-"""Targets drawn, of which the one least known is probed."""
+"""Targets drawn for a probe; the one with the oldest report is probed."""
 
 RECENT_SERVICES = 64
-"""Services with choices since their last probe that are remembered."""
+"""Maximum number of remembered services with choices since their last probe."""
 
 
 class Prober:
-    """Spend the measuring budget.
+    """Spends the measuring budget on probes and shared samples.
 
     Attributes:
         probes: The bucket of probes.
         probe_bytes: The bucket of their bytes.
-        sharing: The samples sent to peers and taken from them.
-        chosen: Services with a choice since their last probe.
+        sharing: Sends samples to the peers and receives theirs.
+        chosen: Services with a choice of a target since their last probe.
     """
 
     def __init__(
@@ -69,15 +69,15 @@
         seed: int = 0,
         share: TargetShare | None = None,
     ):
-        """Start with nothing to spend.
+        """Start with empty buckets.
 
         Args:
             settings: The host's settings.
             registry: The targets.
             exchange: The other hosts.
-            metrics: Where the spending is counted.
-            probe: How a target is asked.
-            seed: Of the choice of targets to probe.
+            metrics: Where spent probes and bytes are counted.
+            probe: The client that probes targets.
+            seed: Seed of the random choice of targets to probe.
             share: What this host may send to each target; all if None.
         """
         self.share = share or NoShare()
@@ -173,11 +173,11 @@
             self.probes.ready_at(), self.probe_bytes.ready_at(PROBE_BYTES)
         )
         now = trio.current_time()
-        # Probes on their way may give bytes back before that.
+        # Probes in progress may put bytes back before that.
         return min(max(ready_at, now + 0.001), now + LOOK_AGAIN_SECONDS)
 
     def _pick(self) -> TargetState | None:
-        """Return the target whose report would tell most, or None."""
+        """Return a drawn target with the oldest report, or None."""
         service = next(iter(self.chosen))
         del self.chosen[service]
         targets = self.registry.targets(service)
@@ -189,7 +189,7 @@
         return min(drawn, key=_known_at)
 
     async def probe(self, target: TargetState) -> None:
-        """Ask one target for its load, if it can be, and note what it says."""
+        """Probe one target's load, if allowed, and record the result."""
         if not self.client.can_ask(target):
             return
         if not self.share.may_probe(target):
--- a/agatetack/measure/rounds.py
+++ b/agatetack/measure/rounds.py
@@ -1,4 +1,4 @@
-"""Probe each target steadily from one host, which tells the others."""
+"""Probe each target periodically from one host, which informs the others."""
 
 import random
 from collections import Counter, defaultdict
@@ -15,51 +15,52 @@
 from agatetack.targets.state import TargetState
 
 OWNERS_SECONDS = 0.1
-"""How often it is looked whether other targets are this host's to probe."""
+"""Interval at which a host determines which targets it has to probe."""
 
 PEERS_SECONDS = 0.3
-"""Longest time that a host which starts waits for links with its peers.
+"""Maximum time that a starting host waits for connections with its peers.
 
-Until it has them all targets are its own to probe. The wait saved a fifth of
-the connections to targets (10,483 to 8,403 on five simulated days, in each of
-which 14 hosts lost power or were killed).
+Without them it probes all targets itself. The wait saved a fifth of the
+connections to targets (10,483 to 8,403 on five simulated days, in each of which
+14 hosts lost power or were killed).
 """
 
 PEERS_POLL_SECONDS = 0.01
-"""How often it is looked whether they are there."""
+"""Interval between checks for these connections."""
 
 MOST_UNEVEN = 2.0
-"""Times the mean number of targets that a host may get to probe because they
-are in its failure domain; a single host beside many targets would have no
-processor time left for requests."""
+"""Maximum number of targets that a host probes because they are in its failure
+domain, as a multiple of the mean over all hosts. Otherwise a single host among
+many targets would have no processor time left for requests."""
 
 
 LARGEST_FLEET = 1000
-"""Hosts that a host takes a fleet to have of which it knows nothing yet."""
+"""Number of hosts assumed while the size of the fleet is unknown."""
 
 
 class ProbeRounds:
-    """The targets that this host probes, one task for each.
+    """Probes the targets that this host owns, with one task for each.
 
-    Each target has one owner among the hosts that are live: the one with the
-    highest hash of both names, so that a host that joins or leaves moves few
-    targets, and all hosts agree without a word. Where their views differ a
-    target may have several owners. A host that knows of a part of the fleet
-    only spends as small a part of the rate, so that all together stay within
-    it: without that, 14 hosts whose links were gone sent 14 times as much.
+    Each target has one owner among the live hosts, chosen by rendezvous
+    hashing: the host with the highest hash of both names. So a host that
+    joins or leaves moves few targets, and all hosts agree without messages.
+    Where their views differ a target may have several owners. A host that
+    knows only a part of the fleet uses only the same part of the rate, so
+    that all hosts together stay within it; without that, 14 hosts that had
+    lost their connections sent 14 times as many probes.
 
-    Hosts in the target's own failure domain go first, as bytes between
-    failure domains are paid for: at 15 probes of some 250 bytes a second each
-    target cost 2.5 KB/s of them.
+    Hosts in the target's own failure domain are preferred, as traffic between
+    failure domains costs money: at 15 probes of some 250 bytes a second each
+    target caused 2.5 KB/s of it.
 
     Attributes:
         rate: Probes of each target in a second, from the whole fleet.
-        share: Part of the rate that this host spends on each of its targets,
-            as other hosts that it knows nothing of may think them theirs.
-        owned: The targets of this host.
-        probing: Targets that a task probes.
-        view: The live hosts and where they are, and the number of changes of
-            the targets, for which the owned ones were worked out.
+        share: Part of the rate that this host uses for each of its targets;
+            hosts that it does not know may own them, too.
+        owned: Targets that this host owns.
+        probing: Targets that are probed by a task.
+        view: The live hosts with their failure domains, and the change count
+            of the registry, from which `owned` was computed.
     """
 
     def __init__(
@@ -80,7 +81,7 @@
             prober: Makes the probes.
             fleet_size: Returns the number of hosts, never too low, or None
                 if it is not known.
-            rng: Draws the play between probes.
+            rng: Draws the jitter of the interval between probes.
         """
         self.own = HostId(settings.host.id)
         self.domain = FailureDomain(settings.host.failure_domain)
@@ -155,8 +156,8 @@
         return len(self.exchange.group_hosts()) or size
 
     async def _probe_on(self, target: TargetState) -> None:
-        """Probe `target` while it is this host's to probe."""
-        # Some play keeps the hosts' probes from coming in step.
+        """Probe `target` while this host owns it."""
+        # Jitter keeps the probes of different hosts from synchronizing.
         play = self.random.uniform(0.0, 1.0)
         probed_at = trio.current_time()
         try:
@@ -171,23 +172,27 @@
     async def _until_due(
         self, target: TargetState, probed_at: float, play: float
     ) -> bool:
-        """Wait for the next probe; return whether it is this host's still."""
+        """Wait until the next probe is due; return whether it is to be made.
+
+        It is not if this host no longer owns the target.
+        """
         while self.owned.get(target.id) is target:
             known_at = max(probed_at, _known_at(target))
             due_at = known_at + play / self.rate / self.share
             now = trio.current_time()
             if now >= due_at:
                 return True
-            # The share may grow meanwhile, from next to nothing at a start.
+            # The share may grow meanwhile; just after a start it is near 0.
             await trio.sleep_until(min(due_at, now + OWNERS_SECONDS))
         return False
 
 
 def _known_at(target: TargetState) -> float:
-    """Return when the target said last what a probe would tell.
+    """Return when the target last reported what a probe would show.
 
-    A target that gets requests is looked at and answers, and whoever hears it
-    tells its owner. Whether it is warm only a probe or a look shows.
+    A target that gets requests reports its load in answers and to pre-send
+    probes, and the hosts that receive a report send it to the target's owner.
+    Whether a target is warm is only known from probes of either kind.
     """
     report = target.report
     now = Deadline(trio.current_time())
@@ -202,7 +207,7 @@
     """Return which hosts may probe the targets of each failure domain.
 
     Args:
-        hosts: All live hosts and where they are.
+        hosts: All live hosts and their failure domains.
         targets: All targets.
     """
     near: dict[FailureDomain, list[HostId]] = defaultdict(list)
@@ -224,5 +229,5 @@
 
 
 def rank(host: HostId, target: TargetId) -> int:
-    """Return how near `target` is to `host`; the highest rank owns it."""
+    """Return the hash of both; the host with the highest owns `target`."""
     return xxhash.xxh32_intdigest(f"{host}/{target}".encode())
--- a/agatetack/measure/samples.py
+++ b/agatetack/measure/samples.py
@@ -24,36 +24,36 @@
 from agatetack.thrift_codec import MalformedMessage, decode, encode
 
 FRAME_BYTES = 60
-"""What a message costs on the wire besides its payload."""
+"""Size of a message on the wire without its payload."""
 
 SAMPLE_BYTES = 16
-"""What one sample costs within another message, about."""
+"""Approximate size of a sample that is sent within another message."""
 
 CHANGED_RESERVE_BYTES = 80
-"""Kept for each peer, to tell of a slow target without waiting."""
+"""Bytes reserved for each peer, to report a slow target without waiting."""
 
 LEAST_INTERVAL_SECONDS = 0.01
-"""Shortest time between two messages."""
+"""Minimum time between two messages."""
 
 LOOK_AGAIN_SECONDS = 0.05
-"""Longest time between two looks at a budget that is spent."""
+"""Maximum time between two checks of a budget that is spent."""
 
 DEFAULT_SLOTS = 2
-"""Slots that a sample without the field means."""
+"""Slots of a target whose sample lacks the field."""
 
 USUAL_PERCENT = 100
-"""The slowness of a target on which work takes as long as usual."""
+"""Slowness, in percent, of a target where work takes as long as usual."""
 
 FAR_SECONDS = 0.25
-"""How often the other groups of a large fleet are told of what changed at the
-targets of this one, by its first leader."""
+"""Minimum interval at which the first leader of a group in a large fleet sends
+changes of the group's targets to the other groups."""
 
 FAR_GROUP_SECONDS = 0.025
-"""The same for each group of the fleet, so that a host hears 40 such messages a
-second at most, however many groups there are."""
+"""The same for each group of the fleet, so that a host receives at most 40 such
+messages a second, however many groups there are."""
 
 NO_RATE = 0.0
-"""The rate of a target that names none any more."""
+"""Rate sent for a target that no longer announces a rate limit."""
 
 SIGN_NUMBERS = {sign: number for number, sign in enumerate(LeavingSign, 1)}
 SIGNS = {number: sign for sign, number in SIGN_NUMBERS.items()}
@@ -62,16 +62,17 @@
 
 
 class SampleExchange:
-    """Send own samples to the peers and take theirs.
+    """Sends own samples to the peers and receives theirs.
 
     Attributes:
         fresh: Targets measured since the last message, latest last.
         any_fresh: Set when there is something in `fresh`.
-        near_news: What the hosts that hear of all requests were told.
-        known: Targets of this group whose load became known since other groups
-            were told.
-        far_news: What those were told.
-        far_samples: What they told, to be passed on to this group.
+        near_news: Tracks what was sent to nearby hosts, which also receive
+            the request counts of all hosts.
+        known: Targets of this group with a load report since the last message
+            to the other groups.
+        far_news: Tracks what was sent to the other groups.
+        far_samples: Relays samples of the other groups to this group.
     """
 
     def __init__(
@@ -82,15 +83,15 @@
         bucket: TokenBucket,
         news_only: bool = False,
     ):
-        """Listen to the registry and to the peers.
+        """Subscribe to the registry and to messages of the peers.
 
         Args:
             registry: The targets.
             exchange: The other hosts.
-            metrics: Where drops are counted.
+            metrics: Where dropped messages are counted.
             bucket: Bytes that samples may cost, to all peers together.
-            news_only: Whether samples that say what peers know already are
-                kept back; it takes hosts that tell what they have there.
+            news_only: Whether samples that peers know already are not sent;
+                requires that all hosts share their own request counts.
         """
         self.news_only = news_only
         self.near_news = ReportNews(registry, unseen_load)
@@ -112,16 +113,16 @@
         exchange.subscribe(Topic.TARGET_SIGNS, self._take_sign)
 
     async def run(self) -> None:
-        """Send samples for ever, at once nearby and now and then elsewhere."""
+        """Send samples until cancelled, to other groups at longer intervals."""
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self._tell_far)
             nursery.start_soon(self.far_samples.run)
             await self._tell_near()
 
     async def _tell_far(self) -> None:
-        """Tell other groups of the targets that are this one's."""
+        """Send changes of this group's targets to the other groups."""
         while True:
-            # An idle host must not wake at all.
+            # An idle host must not wake up at all.
             await self.any_known.wait()
             self.any_known = trio.Event()
             await trio.sleep(self._far_seconds())
@@ -145,12 +146,12 @@
     async def _tell_near(self) -> None:
         """Send fresh samples as often as the budget allows."""
         while True:
-            # An idle host must not wake at all.
+            # An idle host must not wake up at all.
             await self.any_fresh.wait()
             await trio.sleep(LEAST_INTERVAL_SECONDS)
             peers = len(self.exchange.near_peers())
-            # A host without peers has nobody to tell, now or later: by the
-            # time one comes the samples are old.
+            # Without peers the samples are dropped: by the time that a peer
+            # connects they are outdated.
             if not peers or self._send_fresh(peers):
                 self.fresh.clear()
                 self.any_fresh = trio.Event()
@@ -158,11 +159,11 @@
                 await trio.sleep_until(self._look_again_at(peers))
 
     def take_fresh(self) -> list[LoadSample]:
-        """Return what waits to be told, for a message that is sent anyway.
+        """Return the waiting samples for a message that is sent anyway.
 
-        A request's end changes what this host has at a target, and its answer
-        says what the target's load is: told together they cost each peer one
-        message to read and not two.
+        The end of a request changes this host's count at the target, and its
+        answer reports the target's load; sent together they cost each peer one
+        message to read instead of two.
         """
         latest = list(self.fresh.values())[-MAX_SAMPLES:]
         if not latest:
@@ -176,7 +177,7 @@
 
     def _send_fresh(self, peers: int) -> bool:
         if not self.fresh:
-            # They went along with another message.
+            # They were sent with another message.
             return True
         latest = list(self.fresh.values())[-MAX_SAMPLES:]
         return self._send(latest, peers, CHANGED_RESERVE_BYTES * peers)
@@ -186,7 +187,7 @@
         return min(ready_at, trio.current_time() + LOOK_AGAIN_SECONDS)
 
     def _send_changed(self, target: TargetState) -> None:
-        """Tell peers of a target at once, if the budget allows."""
+        """Report a target to the peers at once, if the budget allows."""
         peers = len(self.exchange.near_peers())
         if peers and not self._send([target], peers, 0):
             self._drop("changed-over-budget")
@@ -194,7 +195,7 @@
     def _send(
         self, targets: Sequence[TargetState], peers: int, reserve: int
     ) -> bool:
-        """Send samples if `reserve` bytes are left; return whether."""
+        """Send samples if this leaves `reserve` bytes; return whether sent."""
         payload = self._encode(targets)
         cost = (len(payload) + FRAME_BYTES) * peers
         self.bucket.refill()
@@ -234,7 +235,8 @@
         if target.rate_limit.known:
             self._add_rate(sample, target.rate_limit, now)
         service = target.learned.service_seconds
-        # A peer's word that went round would look like ever new evidence.
+        # A value adopted from a peer is not sent on: as it circulated, it
+        # would look like new evidence each time.
         if service is not None and not target.learned.adopted:
             sample.service_us = round(service * 1e6)
         return sample
@@ -258,14 +260,15 @@
             sample.rate_said_ms = said_ms
 
     def _measured(self, target: TargetState, report: LoadReport) -> None:
-        # By mark and not by name, as each report of a target comes here.
+        # Checks a flag instead of looking up the name, as each report of a
+        # target gets here.
         if self.exchange.is_first_leader and target.told_by_all:
             self.known[target.process] = target
             self.any_known.set()
         if report.source is ReportSource.PEER:
             return
         if not self.news_only or self.near_news.take(target, report):
-            # Put it last, so that the latest survive a cut.
+            # Move it to the end, so that the latest remain if not all fit.
             self.fresh.pop(target.process, None)
             self.fresh[target.process] = target
             self.any_fresh.set()
@@ -280,7 +283,7 @@
         self.far_samples.note(sender, message.samples)
 
     def take(self, samples: Sequence[LoadSample]) -> None:
-        """Take what a peer told of targets."""
+        """Apply the samples of targets that a peer sent."""
         now = trio.current_time()
         for sample in samples:
             target = self.hashes.find(sample.target)
@@ -316,8 +319,8 @@
     def _send_sign(self, target: TargetState, sign: LeavingSign) -> None:
         message = TargetSign(target=target.process, sign=SIGN_NUMBERS[sign])
         payload = encode(message)
-        # Signs are not held back by the budget: they are few, and a late one
-        # sends work to a target that is leaving.
+        # Signs are exempt from the budget: they are few, and if one is late
+        # peers send requests to a target that is leaving.
         self.exchange.publish(Topic.TARGET_SIGNS, payload)
 
     def _take_sign(self, sender: HostId, payload: bytes) -> None:
--- a/agatetack/measure/test_budget.py
+++ b/agatetack/measure/test_budget.py
@@ -1,4 +1,4 @@
-"""Test that the fleet never spends more than its figure on measuring."""
+"""Test that the fleet never spends more than its budget on measuring."""
 
 import dataclasses
 
@@ -13,16 +13,16 @@
 
 @dataclasses.dataclass(frozen=True)
 class Case:
-    """How a fleet behaves.
+    """Behaviour of a fleet.
 
     Attributes:
         hosts: Number of hosts at the start.
         doubled_at: When as many hosts join, or None.
         lag_seconds: How long the old hosts do not know of the new ones.
-        restart_seconds: How often every host restarts, or None.
+        restart_seconds: Interval at which every host restarts, or None.
         pause_seconds: How long every host is paused, once.
         idle_seconds: Time without work before a burst.
-        seen: Number of hosts seen where membership is wrong, or None.
+        seen: Number of hosts in a wrong membership list, or None.
     """
 
     hosts: int = 13
@@ -57,7 +57,7 @@
         self.started = trio.current_time()
 
     def size(self, joined):
-        """Return the number of hosts that one which joined then sees."""
+        """Return the fleet's size as known to a host that joined then."""
         if self.case.seen:
             return self.case.seen
         at = self.case.doubled_at
@@ -104,8 +104,8 @@
     await fleet.run()
     spends = [at - fleet.started for at in fleet.spends]
     hosts = case.hosts * (2 if case.doubled_at else 1)
-    # Every stretch of time, and not only the whole: what is saved up in the
-    # hosts' buckets is all that may come on top.
+    # In every window, not only over the whole run, at most what the hosts'
+    # buckets have saved may be spent on top of the rate.
     for width in (0.5, 2.0, 8.0):
         most = RATE * width + hosts
         start = 0
@@ -113,7 +113,7 @@
             while spends[start] < at - width:
                 start += 1
             assert end - start + 1 <= most
-    # From the start, nothing comes on top.
+    # From the start, nothing may be spent on top of the rate.
     for count, at in enumerate(spends, 1):
         assert count <= RATE * at
 
--- a/agatetack/measure/test_far_samples.py
+++ b/agatetack/measure/test_far_samples.py
@@ -1,8 +1,7 @@
-"""Test that a group hears of other groups' targets in few messages.
+"""Test that a group gets the samples of all other groups in few messages.
 
-The pattern: each group of a large fleet is told by all other groups several
-times a second, and each message costs each of its hosts as much to read as
-the start of a request does.
+All other groups of a large fleet send to each group several times a second, and
+reading a message costs each of its hosts as much as starting a request.
 """
 
 import pytest
@@ -23,7 +22,7 @@
 
 
 class GroupExchange(NoExchange):
-    """Stands for one host of a group and keeps what it publishes."""
+    """The exchange of one host in a group; records what it publishes."""
 
     def __init__(self, leads=True):
         super().__init__()
@@ -48,7 +47,7 @@
 
 
 async def gather(exchange, told, nursery):
-    """Let an exchange hear each sample of `told`, 10 ms apart."""
+    """Receive the samples of `told`, 10 ms apart; return what is relayed."""
     far = FarSamples(exchange)
     nursery.start_soon(far.run)
     for sender, heard in told:
@@ -67,7 +66,7 @@
             [("far", sample(1)), ("other", sample(2)), ("far", sample(1))],
             [[1, 2]],
         ),
-        # All of a group hear each other.
+        # All hosts of a group receive each other's messages.
         (True, [("near", sample(1))], []),
         (False, [("far", sample(1))], []),
     ],
@@ -89,7 +88,7 @@
     assert [len(message) for message in exchange.published] == [MAX_SAMPLES, 1]
 
 
-# Guards against requests to a target that is known elsewhere to be cold.
+# Guards against requests to a target that other groups know to be cold.
 @pytest.mark.parametrize(("warm_up_ms", "at_once"), [(900, True), (0, False)])
 async def test_that_a_target_is_cold_is_passed_on_at_once(
     autojump_clock, nursery, warm_up_ms, at_once
@@ -125,7 +124,7 @@
     assert passed.service_us == fields.get("service_us")
 
 
-# Guards against a message for each group and interval.
+# Guards against one message for each other group in each interval.
 async def test_a_group_hears_of_all_others_four_times_a_second(
     autojump_clock, nursery
 ):
--- a/agatetack/measure/test_http_probe.py
+++ b/agatetack/measure/test_http_probe.py
@@ -1,4 +1,4 @@
-"""Test what the load endpoint's answers are taken for."""
+"""Test how the answers of a load endpoint are interpreted."""
 
 import functools
 
--- a/agatetack/measure/test_news.py
+++ b/agatetack/measure/test_news.py
@@ -1,4 +1,4 @@
-"""Test which load reports are worth telling."""
+"""Test which load reports are sent to other hosts."""
 
 import pytest
 import trio
@@ -23,16 +23,16 @@
     ("load", "first", "second", "pause", "news"),
     [
         (unseen_load, (2, 1, 1, 1.0), (2, 1, 1, 1.0), 0.1, False),
-        # The hosts tell of their own requests.
+        # Each host reports its own requests by itself.
         (unseen_load, (1, 1, 0, 1.0), (3, 1, 2, 1.0), 0.1, False),
         (unseen_load, (1, 1, 0, 1.0), (3, 1, 1, 1.0), 0.1, True),
-        # Hosts elsewhere hear of none.
+        # Hosts of other groups receive no counts of requests.
         (whole_load, (1, 1, 0, 1.0), (3, 1, 2, 1.0), 0.1, True),
         (whole_load, (2, 1, 0, 1.0), (2, 2, 0, 1.0), 0.1, False),
         (unseen_load, (0, 0, 0, 1.0), (0, 0, 0, 1.1), 0.1, False),
         (unseen_load, (0, 0, 0, 1.0), (0, 0, 0, 7.0), 0.1, True),
         (unseen_load, (0, 0, 0, 7.0), (0, 0, 0, 1.0), 0.1, True),
-        # A message may have been lost.
+        # Sent again, as a message may have been lost.
         (unseen_load, (0, 0, 0, 1.0), (0, 0, 0, 1.0), 1.1, True),
     ],
 )
--- a/agatetack/measure/test_occupancy.py
+++ b/agatetack/measure/test_occupancy.py
@@ -1,4 +1,4 @@
-"""Test that hosts know what the others have at each target."""
+"""Test that hosts know the others' requests in flight at each target."""
 
 import itertools
 
@@ -17,7 +17,7 @@
 
 
 class Host:
-    """One host's registry and what it is told."""
+    """One host's registry and occupancy, and its notices of free slots."""
 
     def __init__(self, mesh, name, targets=2):
         self.name = HostId(name)
@@ -68,7 +68,7 @@
         two.set(0)
         await trio.sleep(0.01)
         assert one.target().told_in_flight == 2
-        # Whoever waits for a target is served when there is room.
+        # Waiting requests are notified when there is a free slot.
         assert one.room == before + 1
         nursery.cancel_scope.cancel()
 
@@ -132,7 +132,7 @@
 
 
 async def lower(nursery, before, after):
-    """Let one of six hosts have less at a target; return the others."""
+    """Lower the count of one of six hosts; return the other hosts."""
     mesh = MemoryMesh(nursery)
     first, *others = [Host(mesh, f"h{n}") for n in range(6)]
     await start(nursery, first, *others)
@@ -152,7 +152,7 @@
             round(later - earlier, 6)
             for earlier, later in itertools.pairwise(turns)
         }
-        # One of the turns may be that of the host which gave the slot up.
+        # One of the turns may belong to the host that freed the slot.
         step = others[0].occupancy.turn_seconds
         assert gaps <= {step, 2 * step}
         for host in others:
@@ -187,7 +187,7 @@
 
 
 class ScriptedSharing:
-    """Stands in for what is told besides counts."""
+    """Fake of the samples that are sent along with the counts."""
 
     def __init__(self, waiting=()):
         self.waiting = list(waiting)
@@ -211,7 +211,7 @@
         await start(nursery, one, two)
         for count in (1, 2):
             one.set(count)
-            # The mesh brings messages of one moment in any order.
+            # The mesh delivers messages sent at the same time in any order.
             await trio.sleep(0.01)
             assert two.target().told_in_flight == count
             assert two.occupancy.sharing.taken == [sample]
--- a/agatetack/measure/test_prober.py
+++ b/agatetack/measure/test_prober.py
@@ -28,7 +28,7 @@
 
 
 class FakeProbe(ProbeClient):
-    """Answer every probe alike and keep count."""
+    """Gives the same answer to each probe and records the targets."""
 
     def __init__(self):
         self.result = Success(ProbeAnswer(3, 2, ReportedState.READY, 200))
@@ -41,7 +41,7 @@
 
 
 class Wire(NoExchange):
-    """Join two hosts; what one publishes the other takes at once."""
+    """Connects two hosts; each receives at once what the other publishes."""
 
     def __init__(self):
         self.other = None
@@ -77,12 +77,12 @@
         self.targets = self.registry.targets(SERVICE)
 
     def choose(self):
-        """Do as admission does at each choice."""
+        """Notify the watchers of a choice, as admission does."""
         for watcher in self.registry.choice_watchers:
             watcher(SERVICE)
 
     def report(self, target, in_flight, source=ReportSource.ANSWER):
-        """Take a report made just now."""
+        """Record a report with the current time."""
         now = Deadline(trio.current_time())
         self.registry.note_report(
             target, LoadReport(in_flight, 2, 0, now, source)
@@ -110,7 +110,7 @@
     [
         (3, {"probes_per_second": 20}, 95, 100),
         (3, {"probes_per_second": 0}, 0, 0),
-        # One target leaves no choice to be made.
+        # With one target there is no choice.
         (1, {"probes_per_second": 20}, 0, 0),
         # Bytes run out before probes do; half of them are for samples.
         (3, {"probes_per_second": 100, "bytes_per_second": 4000}, 40, 51),
@@ -157,7 +157,7 @@
             3,
         ),
         (Failure(ProbeFailure.REFUSED), TargetStatus.LEAVING, None),
-        # A load endpoint that says nothing says nothing about the target.
+        # A load endpoint without a usable answer changes no status.
         (Failure(ProbeFailure.TIMEOUT), TargetStatus.COLD, None),
         (Failure(ProbeFailure.MALFORMED), TargetStatus.COLD, None),
     ],
@@ -198,7 +198,7 @@
     assert (report.in_flight, report.source) == (7, ReportSource.PEER)
     assert taker.targets[0].learned.peer_service_seconds == 0.02
     assert taker.targets[1].report is None
-    # The taker does not send on what it was told.
+    # The receiver does not send on the samples of others.
     assert not taker.prober.sharing.fresh
 
 
@@ -237,7 +237,7 @@
 
 @pytest.mark.parametrize("ratio", [10.0, 1.0])
 async def test_peer_is_told_at_once_of_a_change(autojump_clock, ratio):
-    # The taker knows nothing of the target yet, so the first word counts.
+    # The receiver has no report of the target yet, so the first one counts.
     sender, taker = joined()
     sender.prober.sharing.bucket.tokens = 4000
     sender.report(sender.targets[0], 7)
@@ -303,7 +303,7 @@
     first, second = joined()
     for each in (first, second):
         each.registry.set_warm_up_rates({SERVICE: 5.6})
-        # Nobody knows until a probe shows it.
+        # Now no host knows whether it is warm until a probe shows it.
         each.registry.set_evacuated(frozenset(["domain-a"]))
         each.registry.set_evacuated(frozenset())
     state = ReportedState.READY
--- a/agatetack/measure/test_rounds.py
+++ b/agatetack/measure/test_rounds.py
@@ -1,4 +1,4 @@
-"""Test which host probes a target, how often, and that a hang stops nothing."""
+"""Test which host probes a target and how often, also if a probe hangs."""
 
 import random
 
@@ -185,10 +185,10 @@
 
 
 class GroupExchange(NoExchange):
-    """One host of a fleet that is split into groups.
+    """The exchange of one host of a fleet that is split into groups.
 
     Attributes:
-        linked: Other hosts of its group that it has links with.
+        linked: Other hosts of its group that it has connections with.
     """
 
     def __init__(self, own, domains):
@@ -254,10 +254,10 @@
     ("heard_every", "cold", "least", "most"),
     [
         (None, False, 70, 130),
-        # What others hear of it twice as often is not asked for again.
+        # Reports through others at twice the rate make probes needless.
         (0.05, False, 0, 2),
         (0.5, False, 55, 95),
-        # Only a probe or a look tells whether it is warm.
+        # Whether it is warm is only known from probes.
         (0.05, True, 70, 130),
     ],
 )
