--- a/agatetack/attempts/single.py
+++ b/agatetack/attempts/single.py
@@ -45,13 +45,13 @@
 request alone."""
 
 BYTES_WEIGHT = 0.1
-"""Weight of one answer in the moving average of a target's answer sizes."""
+"""Weight of one response in the moving average of a target's response sizes."""
 
 FAIL_FAST_RATIO = 0.75
-"""A failing answer that takes less than this share of the target's usual
+"""A failing response that takes less than this share of the target's usual
 latency counts as a fault of the target, which did no work for the request.
 
-With 0.5, noise lets some of these answers count as regular ones, which lowers
+With 0.5, noise lets some of these responses count as regular ones, which lowers
 the usual latency until all of them do.
 """
 
@@ -59,11 +59,11 @@
 def fails_fast(status: int, latency: float, target: TargetState) -> bool:
     """Return whether a target failed a request without working on it.
 
-    Of a target without any earlier answer each failing answer counts.
+    Of a target without any earlier response each failing response counts.
 
     Args:
-        status: The answer's HTTP status.
-        latency: Seconds from the attempt's start to the answer's headers.
+        status: The response's HTTP status.
+        latency: Seconds from the attempt's start to the response's headers.
         target: The target that answered.
     """
     if status not in FAILING_STATUSES:
@@ -73,7 +73,7 @@
 
 
 class PermittedBody(Body):
-    """An answer's body that releases its permit when it ends.
+    """A response's body that releases its permit when it ends.
 
     Attributes:
         shown: The attempt's result if the body arrives completely.
@@ -172,7 +172,7 @@
     ) -> Result[Answer, AttemptFailure]:
         """Send the request to the permit's target.
 
-        The permit is released here, or by the answer's body at its end.
+        The permit is released here, or by the response's body at its end.
         """
         self.metrics.attempts.inc({"route": plan.route.id})
         if isinstance(plan.request.body, BytesBody):
@@ -250,7 +250,7 @@
     def _note_answer(
         self, permit: Permit, answer: Answer, latency: float
     ) -> AttemptResult:
-        """Record an answer's latency and return the attempt's result."""
+        """Record a response's latency and return the attempt's result."""
         self.metrics.target_answered(permit.target.id, latency)
         if fails_fast(answer.status, latency, permit.target):
             # Its latency would rank a target that does no work first.
--- a/agatetack/measure/news.py
+++ b/agatetack/measure/news.py
@@ -44,7 +44,7 @@
     """Tracks which report of each target was last sent to a set of hosts.
 
     Attributes:
-        told: The reports sent last, by process (one start of a target).
+        told: The reports sent last, by process incarnation of the target.
     """
 
     def __init__(
