--- a/agatetack/attempts/looking.py
+++ b/agatetack/attempts/probing_admission.py
@@ -26,21 +26,21 @@
 from agatetack.targets.look import TargetLook
 from agatetack.targets.state import LoadReport, TargetState
 
-MOST_LOOKS = 3
+MAX_PROBES = 3
 """Maximum number of targets probed for one attempt. If a quarter of the
 targets are slow at any time, all three are slow in one case of sixty."""
 
-LOOK_SECONDS = 0.08
+PROBE_TIMEOUT_SECONDS = 0.08
 """Timeout of a pre-send probe: a round trip between failure domains takes 3 ms,
 and a busy host needs some 20 ms more to read the response."""
 
-LOOK_SHARE = 0.1
+MAX_PROBE_TIME_RATIO = 0.1
 """Maximum share of the remaining time that one pre-send probe may take."""
 
-FRESH_SECONDS = 0.01
+FRESH_REPORT_SECONDS = 0.01
 """A load report younger than this is used without a pre-send probe."""
 
-BAD_SLOWNESS = 2.0
+MAX_SLOWNESS_RATIO = 2.0
 """Slowness above which another target is chosen."""
 
 decisions = DecisionLog("attempts")
@@ -57,7 +57,7 @@
     UNWILLING = "unwilling"
 
 
-SHOWN = {
+RESULTS = {
     Verdict.SILENT: AttemptResult.FAILED,
     Verdict.SLOW: AttemptResult.CANCELLED,
     Verdict.FULL: AttemptResult.CANCELLED,
@@ -68,7 +68,7 @@
 busy or slow for the moment does not count as failed."""
 
 
-class LookingAdmission(AdmissionController):
+class ProbingAdmission(AdmissionController):
     """Grants permits only for targets whose pre-send probe shows no problem.
 
     Without such probes and with 36 targets that were slower by a factor of 7
@@ -78,27 +78,27 @@
     """
 
     def __init__(
-        self, inner: AdmissionController, look: TargetLook, metrics: Metrics
+        self, inner: AdmissionController, probe: TargetLook, metrics: Metrics
     ):
         """Probe the targets of the permits that `inner` grants."""
         self.inner = inner
-        self.look = look
-        self.looks = metrics.counter(
+        self.probe = probe
+        self.probes = metrics.counter(
             "agatetack_looks_total",
             "Targets asked for their load before a request, by what they said.",
         )
 
     async def acquire(self, wanted: PermitRequest) -> Result[Permit, Refusal]:
         """Return a permit, or the refusal of the request as not run."""
-        for _ in range(MOST_LOOKS):
+        for _ in range(MAX_PROBES):
             result = await self.inner.acquire(wanted)
             if isinstance(result, Failure):
                 return result
             permit = result.unwrap()
-            verdict = await self._look_at(permit, wanted)
+            verdict = await self._probe(permit, wanted)
             if verdict is Verdict.ABLE:
                 return Success(permit)
-            permit.release(SHOWN[verdict])
+            permit.release(RESULTS[verdict])
             wanted = dataclasses.replace(
                 wanted, avoid=wanted.avoid | {permit.target.id}
             )
@@ -108,7 +108,7 @@
         """Return when a refused caller should retry."""
         return self.inner.retry_at(route)
 
-    async def _look_at(self, permit: Permit, wanted: PermitRequest) -> Verdict:
+    async def _probe(self, permit: Permit, wanted: PermitRequest) -> Verdict:
         """Return whether the permit's target can take the request now."""
         target = permit.target
         now = Deadline(trio.current_time())
@@ -116,19 +116,19 @@
             # The target counts a probe as a request against its rate limit.
             return Verdict.ABLE
         if _is_fresh(target, now):
-            slow = target.report.slowness > BAD_SLOWNESS
+            slow = target.report.slowness > MAX_SLOWNESS_RATIO
             return Verdict.SLOW if slow else Verdict.ABLE
-        if not self.look.take(target):
+        if not self.probe.take(target):
             return Verdict.ABLE
         known_cold = target.warms_up(now)
         left = max(0.0, wanted.deadline - now)
-        seconds = min(LOOK_SECONDS, LOOK_SHARE * left)
+        seconds = min(PROBE_TIMEOUT_SECONDS, MAX_PROBE_TIME_RATIO * left)
         try:
-            report = await self.look.ask(target, Deadline(now + seconds))
+            report = await self.probe.ask(target, Deadline(now + seconds))
         except BaseException:
             permit.release(AttemptResult.CANCELLED)
             raise
-        verdict = _judge(report)
+        verdict = _classify(report)
         now = Deadline(trio.current_time())
         if verdict is Verdict.ABLE and target.warms_up(now) and not known_cold:
             # It became cold without a report; the permit assumes a warm one.
@@ -136,7 +136,7 @@
         if not target.is_willing(now):
             # It said so in response to the probe or to another request.
             verdict = Verdict.UNWILLING
-        self.looks.inc({"result": verdict.value})
+        self.probes.inc({"result": verdict.value})
         if verdict is not Verdict.ABLE:
             decisions.held(
                 wanted.request.story,
@@ -151,13 +151,13 @@
 
 def _is_fresh(target: TargetState, now: Deadline) -> bool:
     report = target.report
-    return report is not None and now - report.at < FRESH_SECONDS
+    return report is not None and now - report.at < FRESH_REPORT_SECONDS
 
 
-def _judge(report: LoadReport | None) -> Verdict:
+def _classify(report: LoadReport | None) -> Verdict:
     if report is None:
         return Verdict.SILENT
-    if report.slowness > BAD_SLOWNESS:
+    if report.slowness > MAX_SLOWNESS_RATIO:
         return Verdict.SLOW
     # The report does not count the request that the permit was granted for.
     if report.in_flight >= report.slots:
--- a/agatetack/attempts/test_looking.py
+++ b/agatetack/attempts/test_probing_admission.py
@@ -15,10 +15,10 @@
     Permit,
     PermitRequest,
 )
-from agatetack.attempts.looking import (
-    FRESH_SECONDS,
-    MOST_LOOKS,
-    LookingAdmission,
+from agatetack.attempts.probing_admission import (
+    FRESH_REPORT_SECONDS,
+    MAX_PROBES,
+    ProbingAdmission,
 )
 from agatetack.ids import Deadline
 from agatetack.metrics import Metrics
@@ -43,7 +43,7 @@
     )
 
 
-class Leave(Permit):
+class RecordingPermit(Permit):
     """A permit that records the result it was released with."""
 
     def __init__(self, target):
@@ -60,12 +60,12 @@
 RETRY_AT = Deadline(7.0)
 
 
-class InOrder(AdmissionController):
+class InOrderAdmission(AdmissionController):
     """Grants permits for the first target that is not to be avoided."""
 
     def __init__(self, targets):
         self.targets = targets
-        self.given = []
+        self.granted = []
         self.repeats = False
 
     def retry_at(self, route):
@@ -74,47 +74,47 @@
     async def acquire(self, wanted):
         for target in self.targets:
             if target.id not in wanted.avoid:
-                self.given.append(Leave(target))
-                return Success(self.given[-1])
+                self.granted.append(RecordingPermit(target))
+                return Success(self.granted[-1])
         if self.repeats:
-            self.given.append(Leave(self.targets[0]))
-            return Success(self.given[-1])
+            self.granted.append(RecordingPermit(self.targets[0]))
+            return Success(self.granted[-1])
         return Failure(refuse(RefusalReason.NO_TARGET, "none is left"))
 
 
-class ScriptedLook:
+class ScriptedProbe:
     """Returns a scripted report for each target, in the targets' order."""
 
-    def __init__(self, targets, says):
-        self.says = dict(
-            zip((target.id for target in targets), says, strict=True)
+    def __init__(self, targets, reports):
+        self.reports = dict(
+            zip((target.id for target in targets), reports, strict=True)
         )
-        self.asked = 0
+        self.calls = 0
         self.most = 100
 
     def take(self, target):
-        return self.asked < self.most
+        return self.calls < self.most
 
     async def ask(self, target, deadline):
-        self.asked += 1
-        says = self.says[target.id]
-        if says is None:
+        self.calls += 1
+        fields = self.reports[target.id]
+        if fields is None:
             await trio.sleep_until(deadline)
             return None
         await trio.sleep(0.003)
-        return report(*says)
+        return report(*fields)
 
 
-def make(says):
+def make(reports):
     registry = TargetRegistry(default_settings(), Metrics())
-    registry.update([listed_target(n + 1) for n in range(len(says))])
+    registry.update([listed_target(n + 1) for n in range(len(reports))])
     targets = registry.targets(SERVICE)
-    inner = InOrder(targets)
-    look = ScriptedLook(targets, says)
-    return targets, inner, LookingAdmission(inner, look, Metrics()), look
+    inner = InOrderAdmission(targets)
+    probe = ScriptedProbe(targets, reports)
+    return targets, inner, ProbingAdmission(inner, probe, Metrics()), probe
 
 
-def wish(**fields):
+def make_wanted(**fields):
     request = make_request()
     return PermitRequest(make_route(), request, request.deadline, **fields)
 
@@ -124,7 +124,7 @@
 
 
 @pytest.mark.parametrize(
-    ("says", "results"),
+    ("reports", "results"),
     [
         ([GOOD, GOOD], [None]),
         ([SLOW, GOOD], [CANCELLED, None]),
@@ -132,68 +132,68 @@
         ([SILENT, GOOD], [FAILED, None]),
         ([SLOW, SILENT, FULL, GOOD], [CANCELLED, FAILED, CANCELLED, None]),
         # After the maximum number of probes any target is accepted.
-        ([SLOW] * 5, [CANCELLED] * MOST_LOOKS + [None]),
+        ([SLOW] * 5, [CANCELLED] * MAX_PROBES + [None]),
     ],
 )
-async def test_the_first_able_target_is_taken(autojump_clock, says, results):
-    _, inner, looking, _ = make(says)
-    permit = (await looking.acquire(wish())).unwrap()
-    assert [leave.result for leave in inner.given] == results
-    assert permit is inner.given[-1]
+async def test_the_first_able_target_is_taken(autojump_clock, reports, results):
+    _, inner, probing, _ = make(reports)
+    permit = (await probing.acquire(make_wanted())).unwrap()
+    assert [each.result for each in inner.granted] == results
+    assert permit is inner.granted[-1]
 
 
 async def test_looks_take_a_small_part_of_the_time_left(autojump_clock):
-    _, _, looking, _ = make([SILENT] * 5)
+    _, _, probing, _ = make([SILENT] * 5)
     began = trio.current_time()
     request = make_request(seconds=0.5)
     wanted = PermitRequest(make_route(), request, request.deadline)
-    await looking.acquire(wanted)
-    assert trio.current_time() - began <= 0.5 * 0.1 * MOST_LOOKS
+    await probing.acquire(wanted)
+    assert trio.current_time() - began <= 0.5 * 0.1 * MAX_PROBES
 
 
 async def test_a_fresh_report_needs_no_look(autojump_clock):
-    targets, _, looking, look = make([GOOD])
+    targets, _, probing, probe = make([GOOD])
     targets[0].report = report()
-    await looking.acquire(wish())
-    assert look.asked == 0
-    await trio.sleep(FRESH_SECONDS)
-    await looking.acquire(wish())
-    assert look.asked == 1
+    await probing.acquire(make_wanted())
+    assert probe.calls == 0
+    await trio.sleep(FRESH_REPORT_SECONDS)
+    await probing.acquire(make_wanted())
+    assert probe.calls == 1
 
 
 async def test_without_another_target_the_request_is_refused_as_not_run(
     autojump_clock,
 ):
-    _, inner, looking, _ = make([SILENT])
-    result = await looking.acquire(wish())
+    _, inner, probing, _ = make([SILENT])
+    result = await probing.acquire(make_wanted())
     assert isinstance(result, Failure)
-    assert inner.given[0].result is FAILED
+    assert inner.granted[0].result is FAILED
 
 
 async def test_a_caller_that_leaves_gives_its_place_back(autojump_clock):
-    _, inner, looking, _ = make([SILENT])
+    _, inner, probing, _ = make([SILENT])
     with trio.move_on_after(0.01):
-        await looking.acquire(wish())
-    assert inner.given[0].result is CANCELLED
+        await probing.acquire(make_wanted())
+    assert inner.granted[0].result is CANCELLED
 
 
 async def test_the_only_target_gets_the_request_after_some_looks(
     autojump_clock,
 ):
-    _, inner, looking, look = make([SILENT])
+    _, inner, probing, probe = make([SILENT])
     inner.repeats = True
-    permit = (await looking.acquire(wish())).unwrap()
-    assert permit is inner.given[-1]
+    permit = (await probing.acquire(make_wanted())).unwrap()
+    assert permit is inner.granted[-1]
     assert permit.result is None
-    assert look.asked == MOST_LOOKS
+    assert probe.calls == MAX_PROBES
 
 
 async def test_without_a_look_left_the_choice_stands(autojump_clock):
-    _, inner, looking, look = make([SLOW, GOOD])
-    look.most = 0
-    permit = (await looking.acquire(wish())).unwrap()
-    assert permit is inner.given[0]
-    assert look.asked == 0
+    _, inner, probing, probe = make([SLOW, GOOD])
+    probe.most = 0
+    permit = (await probing.acquire(make_wanted())).unwrap()
+    assert permit is inner.granted[0]
+    assert probe.calls == 0
 
 
 @pytest.mark.parametrize(
@@ -210,21 +210,21 @@
 async def test_a_target_found_cold_is_passed_over(
     autojump_clock, rate, known_cold, results
 ):
-    targets, inner, looking, look = make([GOOD, GOOD])
+    targets, inner, probing, probe = make([GOOD, GOOD])
     warm_at = Deadline(trio.current_time() + 3.0)
-    asked = look.ask
+    inner_ask = probe.ask
 
     async def ask(target, deadline):
-        said = await asked(target, deadline)
+        said = await inner_ask(target, deadline)
         if target is targets[0]:
             target.warmth.note(warm_at, Deadline(trio.current_time()))
         return said
 
-    look.ask = ask
+    probe.ask = ask
     for target in targets:
         target.warm_up_rate = rate
     if known_cold:
         targets[0].warmth.note(warm_at, Deadline(trio.current_time()))
-    permit = (await looking.acquire(wish())).unwrap()
-    assert [leave.result for leave in inner.given] == results
-    assert permit is inner.given[-1]
+    permit = (await probing.acquire(make_wanted())).unwrap()
+    assert [each.result for each in inner.granted] == results
+    assert permit is inner.granted[-1]
--- a/agatetack/balance/test_looked_at_cold_targets.py
+++ b/agatetack/balance/test_looked_at_cold_targets.py
@@ -18,7 +18,7 @@
     Permit,
     PermitRequest,
 )
-from agatetack.attempts.looking import LookingAdmission
+from agatetack.attempts.probing_admission import ProbingAdmission
 from agatetack.balance.test_cold_share import (
     BOUND,
     WARM_UP_SECONDS,
@@ -90,7 +90,7 @@
         self.share = make_share(self.registry, listed.id, fleet.listed)
         self.targets = self.registry.targets(SERVICE)
         self.sends = [
-            LookingAdmission(OneTarget(self.share, target), self, Metrics())
+            ProbingAdmission(OneTarget(self.share, target), self, Metrics())
             for target in self.targets
         ]
         self.buckets = {}
--- a/agatetack/gateway_core.py
+++ b/agatetack/gateway_core.py
@@ -8,7 +8,7 @@
 from agatetack.admission.controller import AdmissionController
 from agatetack.admission.service import ServiceAdmission
 from agatetack.attempts.fleet_budget import FleetBudget
-from agatetack.attempts.looking import LookingAdmission
+from agatetack.attempts.probing_admission import ProbingAdmission
 from agatetack.attempts.race import AttemptRunner
 from agatetack.attempts.single import SingleAttempt
 from agatetack.balance.cold_share import ColdShare
@@ -205,7 +205,7 @@
             self.metrics,
             load_paths,
         )
-        return LookingAdmission(self.admission, look, self.metrics)
+        return ProbingAdmission(self.admission, look, self.metrics)
 
     def liveness_check(self) -> LivenessCheck:
         """Return what tells a crashed target from one lost connection."""
