--- a/agatetack/measure/occupancy.py
+++ b/agatetack/measure/occupancy.py
@@ -28,7 +28,7 @@
 FORGET_SECONDS = 0.5
 """Interval at which the counts of hosts that left are dropped."""
 
-REPEAT_SECONDS = 1.0
+REPEAT_INTERVAL_SECONDS = 1.0
 """Interval at which all counts are sent again, as messages may be lost."""
 
 TURN_TRIPS = 1
@@ -93,7 +93,7 @@
             self._forget_gone()
             self._mark_told()
             if trio.current_time() >= repeat_at:
-                repeat_at = trio.current_time() + REPEAT_SECONDS
+                repeat_at = trio.current_time() + REPEAT_INTERVAL_SECONDS
                 self._repeat()
 
     def _repeat(self) -> None:
--- a/agatetack/measure/prober.py
+++ b/agatetack/measure/prober.py
@@ -27,7 +27,7 @@
 SAMPLE_BURST_BYTES = 4096
 """Minimum capacity of the bucket of bytes for samples."""
 
-NEWS_START_SECONDS = 0.2
+UPDATES_START_SECONDS = 0.2
 """Time after a start in which no updates on targets are sent.
 
 Where each target is probed by one host, the others depend on its updates: with
@@ -93,19 +93,19 @@
         self.probe_bytes = TokenBucket(
             budget.bytes_per_second - share, size, PROBE_BYTES
         )
-        news_only = settings.balance.policy is PolicyName.FLEET_VIEW
+        updates_only = settings.balance.policy is PolicyName.FLEET_VIEW
         sample_bytes = TokenBucket(
             share,
             size,
             SAMPLE_BURST_BYTES,
-            NEWS_START_SECONDS if news_only else START_SECONDS,
+            UPDATES_START_SECONDS if updates_only else START_SECONDS,
         )
         self.sharing = SampleExchange(
             registry,
             exchange,
             metrics,
             sample_bytes,
-            news_only,
+            updates_only,
         )
         self.chosen: dict[ServiceId, None] = {}
         self.waiting = trio.Event()
--- a/agatetack/measure/samples.py
+++ b/agatetack/measure/samples.py
@@ -14,7 +14,11 @@
 from agatetack.measure.budget import TokenBucket
 from agatetack.measure.far_samples import MAX_SAMPLES, FarSamples
 from agatetack.measure.hashes import TargetHashes, target_hash
-from agatetack.measure.news import ReportNews, unseen_load, whole_load
+from agatetack.measure.update_filter import (
+    UpdateFilter,
+    total_load,
+    unreported_load,
+)
 from agatetack.metrics import Metrics
 from agatetack.peers.exchange import Exchange, Scope, Topic
 from agatetack.targets.leaving import LeavingSign
@@ -67,11 +71,11 @@
     Attributes:
         fresh: Targets measured since the last message, latest last.
         any_fresh: Set when there is something in `fresh`.
-        near_news: Tracks what was sent to nearby hosts, which also receive
+        near_filter: Tracks what was sent to nearby hosts, which also receive
             the request counts of all hosts.
         known: Targets of this group with a load report since the last message
             to the other groups.
-        far_news: Tracks what was sent to the other groups.
+        far_filter: Tracks what was sent to the other groups.
         far_samples: Relays samples of the other groups to this group.
     """
 
@@ -81,7 +85,7 @@
         exchange: Exchange,
         metrics: Metrics,
         bucket: TokenBucket,
-        news_only: bool = False,
+        updates_only: bool = False,
     ):
         """Subscribe to the registry and to messages of the peers.
 
@@ -90,12 +94,12 @@
             exchange: The other hosts.
             metrics: Where dropped messages are counted.
             bucket: Bytes that samples may cost, to all peers together.
-            news_only: Whether samples that peers know already are not sent;
+            updates_only: Whether samples that peers know already are not sent;
                 requires that all hosts share their own request counts.
         """
-        self.news_only = news_only
-        self.near_news = ReportNews(registry, unseen_load)
-        self.far_news = ReportNews(registry, whole_load)
+        self.updates_only = updates_only
+        self.near_filter = UpdateFilter(registry, unreported_load)
+        self.far_filter = UpdateFilter(registry, total_load)
         self.far_samples = FarSamples(exchange)
         self.known: dict[ProcessId, TargetState] = {}
         self.any_known = trio.Event()
@@ -129,14 +133,14 @@
             if not self.exchange.is_first_leader:
                 self.known.clear()
                 continue
-            news = [
+            updates = [
                 target
                 for target in self.known.values()
-                if self.far_news.take(target, target.report)
+                if self.far_filter.take(target, target.report)
             ]
             self.known.clear()
-            for first in range(0, len(news), MAX_SAMPLES):
-                payload = self._encode(news[first : first + MAX_SAMPLES])
+            for first in range(0, len(updates), MAX_SAMPLES):
+                payload = self._encode(updates[first : first + MAX_SAMPLES])
                 self.exchange.publish(Topic.LOAD_SAMPLES, payload, Scope.FAR)
 
     def _far_seconds(self) -> float:
@@ -267,7 +271,7 @@
             self.any_known.set()
         if report.source is ReportSource.PEER:
             return
-        if not self.news_only or self.near_news.take(target, report):
+        if not self.updates_only or self.near_filter.take(target, report):
             # Move it to the end, so that the latest remain if not all fit.
             self.fresh.pop(target.process, None)
             self.fresh[target.process] = target
--- a/agatetack/measure/news.py
+++ b/agatetack/measure/update_filter.py
@@ -9,7 +9,7 @@
 from agatetack.targets.registry import TargetRegistry
 from agatetack.targets.state import LoadReport, TargetState
 
-TOLD_CHANGE = 0.15
+MIN_SLOWNESS_CHANGE_RATIO = 0.15
 """Relative change of a target's slowness that is sent to peers at once.
 
 If each probe were sent to all peers, each host of a fleet of 14 would handle
@@ -17,12 +17,12 @@
 about a quarter of them.
 """
 
-REPEAT_SECONDS = 1.0
+REPEAT_INTERVAL_SECONDS = 1.0
 """Interval at which unchanged reports are sent again."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class ToldReport:
+class SentReport:
     """The report of a target that was sent last.
 
     Attributes:
@@ -40,11 +40,11 @@
     repeat_at: Deadline
 
 
-class ReportNews:
+class UpdateFilter:
     """Tracks which report of each target was last sent to a set of hosts.
 
     Attributes:
-        told: The reports sent last, by process incarnation of the target.
+        sent: The reports sent last, by process incarnation of the target.
     """
 
     def __init__(
@@ -59,7 +59,7 @@
         """
         self.registry = registry
         self.load = load
-        self.told: dict[ProcessId, ToldReport] = {}
+        self.sent: dict[ProcessId, SentReport] = {}
 
     def take(self, target: TargetState, report: LoadReport) -> bool:
         """Return whether to send `report`; if so it counts as sent."""
@@ -67,32 +67,32 @@
         now = Deadline(trio.current_time())
         cold = target.warmth.is_cold(now)
         rate = target.rate_limit.rate
-        last = self.told.get(target.process)
+        last = self.sent.get(target.process)
         if last is not None and now < last.repeat_at:
             change = abs(report.slowness - last.slowness)
-            slower = change > TOLD_CHANGE * last.slowness
+            slower = change > MIN_SLOWNESS_CHANGE_RATIO * last.slowness
             same = (load, cold, rate) == (last.load, last.cold, last.rate)
             if same and not slower:
                 return False
-        repeat_at = Deadline(now + REPEAT_SECONDS)
-        self.told[target.process] = ToldReport(
+        repeat_at = Deadline(now + REPEAT_INTERVAL_SECONDS)
+        self.sent[target.process] = SentReport(
             report.slowness, load, cold, rate, repeat_at
         )
-        if len(self.told) > 2 * len(self.registry.by_process):
-            self._forget_gone()
+        if len(self.sent) > 2 * len(self.registry.by_process):
+            self._drop_removed()
         return True
 
-    def _forget_gone(self) -> None:
-        for process in self.told.keys() - self.registry.by_process.keys():
-            del self.told[process]
+    def _drop_removed(self) -> None:
+        for process in self.sent.keys() - self.registry.by_process.keys():
+            del self.sent[process]
 
 
-def unseen_load(report: LoadReport) -> int:
+def unreported_load(report: LoadReport) -> int:
     """Return the requests at a target that no host reports as its own."""
     known = report.own_in_flight + report.told_in_flight
     return max(0, report.in_flight - known)
 
 
-def whole_load(report: LoadReport) -> int:
+def total_load(report: LoadReport) -> int:
     """Return all requests at a target."""
     return report.in_flight
