--- a/agatetack/attempts/test_probing_admission.py
+++ b/agatetack/attempts/test_probing_admission.py
@@ -124,7 +124,7 @@
 
 
 @pytest.mark.parametrize(
-    ("reports", "results"),
+    ("says", "results"),
     [
         ([GOOD, GOOD], [None]),
         ([SLOW, GOOD], [CANCELLED, None]),
@@ -135,8 +135,8 @@
         ([SLOW] * 5, [CANCELLED] * MAX_PROBES + [None]),
     ],
 )
-async def test_the_first_able_target_is_taken(autojump_clock, reports, results):
-    _, inner, probing, _ = make(reports)
+async def test_the_first_able_target_is_taken(autojump_clock, says, results):
+    _, inner, probing, _ = make(says)
     permit = (await probing.acquire(make_wanted())).unwrap()
     assert [each.result for each in inner.granted] == results
     assert permit is inner.granted[-1]
--- a/agatetack/measure/test_update_filter.py
+++ b/agatetack/measure/test_update_filter.py
@@ -24,7 +24,7 @@
 
 
 @pytest.mark.parametrize(
-    ("load", "first", "second", "pause", "sent"),
+    ("load", "first", "second", "pause", "news"),
     [
         (unreported_load, (2, 1, 1, 1.0), (2, 1, 1, 1.0), 0.1, False),
         # Each host reports its own requests by itself.
@@ -41,7 +41,7 @@
     ],
 )
 async def test_only_what_hearers_do_not_know_is_news(
-    autojump_clock, load, first, second, pause, sent
+    autojump_clock, load, first, second, pause, news
 ):
     registry = TargetRegistry(default_settings(), Metrics())
     registry.update([listed_target(1)])
@@ -49,15 +49,15 @@
     updates = UpdateFilter(registry, load)
     assert updates.take(target, report(*first))
     await trio.sleep(pause)
-    assert updates.take(target, report(*second)) is sent
+    assert updates.take(target, report(*second)) is news
 
 
 @pytest.mark.parametrize(
-    ("first", "second", "sent"),
+    ("first", "second", "news"),
     [(0.0, 0.0, False), (0.0, 3.0, True), (3.0, 0.0, True), (3.0, 2.9, False)],
 )
 async def test_a_target_that_turns_cold_or_warm_is_news(
-    autojump_clock, first, second, sent
+    autojump_clock, first, second, news
 ):
     registry = TargetRegistry(default_settings(), Metrics())
     registry.update([listed_target(1)])
@@ -68,4 +68,4 @@
         target.warmth.note(Deadline(now + left), now)
         taken = updates.take(target, report(0, 0, 0, 1.0))
         await trio.sleep(0.1)
-    assert taken is sent
+    assert taken is news
