--- a/agatetack/measure/occupancy.py
+++ b/agatetack/measure/occupancy.py
@@ -25,13 +25,13 @@
 from agatetack.targets.state import TargetState
 from agatetack.thrift_codec import MalformedMessage, decode, encode
 
-FORGET_SECONDS = 0.5
+CLEANUP_INTERVAL_SECONDS = 0.5
 """Interval at which the counts of hosts that left are dropped."""
 
 REPEAT_INTERVAL_SECONDS = 1.0
 """Interval at which all counts are sent again, as messages may be lost."""
 
-TURN_TRIPS = 1
+TURN_ONE_WAY_RATIO = 1
 """Length of a host's turn, as a multiple of the one-way time between failure
 domains; in this time the others learn that a slot was taken."""
 
@@ -40,12 +40,12 @@
     """All hosts' counts of requests in flight at each target.
 
     Attributes:
-        told: The counts that each other host reported, by target hash.
-        said: The count that this host sent last, by target.
-        told_since: Whether this host sent a change since it sent all counts.
+        reported: The counts that each other host reported, by target hash.
+        sent: The count that this host sent last, by target.
+        changed_since_full: Whether a count was sent since all were sent.
         turn_seconds: Time between two hosts' turns to take a slot.
-        offers: When it is this host's turn, by target with a freed slot.
-        offered: Set when something was added to `offers`.
+        turns: When it is this host's turn, by target with a freed slot.
+        turn_added: Set when something was added to `turns`.
     """
 
     def __init__(
@@ -68,52 +68,52 @@
         self.registry = registry
         self.exchange = exchange
         self.metrics = metrics
-        self.told: dict[int, Counter[HostId]] = defaultdict(Counter)
+        self.reported: dict[int, Counter[HostId]] = defaultdict(Counter)
         self.hashes = TargetHashes(registry)
-        self.said: dict[ProcessId, int] = {}
-        self.told_since = False
+        self.sent: dict[ProcessId, int] = {}
+        self.changed_since_full = False
         one_way = registry.settings.balance.other_domain_seconds
-        self.turn_seconds = TURN_TRIPS * one_way
-        self.offers: dict[TargetId, Deadline] = {}
-        self.offered = trio.Event()
-        registry.in_flight_watchers.append(self._changed)
-        exchange.subscribe(Topic.IN_FLIGHT, self._take)
+        self.turn_seconds = TURN_ONE_WAY_RATIO * one_way
+        self.turns: dict[TargetId, Deadline] = {}
+        self.turn_added = trio.Event()
+        registry.in_flight_watchers.append(self._on_change)
+        exchange.subscribe(Topic.IN_FLIGHT, self._on_counts)
 
     async def run(self) -> None:
         """Repeat counts and offer freed slots in turn, until cancelled."""
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(self._repeat_on)
-            await self._offer_on()
+            nursery.start_soon(self._run_repeats)
+            await self._run_offers()
 
-    async def _repeat_on(self) -> None:
+    async def _run_repeats(self) -> None:
         """Drop hosts that left and repeat counts, until cancelled."""
         repeat_at = trio.current_time()
         while True:
-            await trio.sleep(FORGET_SECONDS)
-            self._forget_gone()
-            self._mark_told()
+            await trio.sleep(CLEANUP_INTERVAL_SECONDS)
+            self._drop_departed()
+            self._mark_fully_reported()
             if trio.current_time() >= repeat_at:
                 repeat_at = trio.current_time() + REPEAT_INTERVAL_SECONDS
-                self._repeat()
+                self._send_all()
 
-    def _repeat(self) -> None:
+    def _send_all(self) -> None:
         """Send all counts again; targets left out have a count of 0.
 
         Otherwise a peer that missed the end of a request would overestimate
         the target's load until this host sends a request there again.
         """
         busy = [t for t in self.registry.by_id.values() if t.in_flight]
-        self.said = {target.process: target.in_flight for target in busy}
-        if busy or self.told_since:
-            self.told_since = False
+        self.sent = {target.process: target.in_flight for target in busy}
+        if busy or self.changed_since_full:
+            self.changed_since_full = False
             self._send(busy, whole=True)
 
-    def _changed(self, target: TargetState) -> None:
-        if self.said.get(target.process, 0) == target.in_flight:
+    def _on_change(self, target: TargetState) -> None:
+        if self.sent.get(target.process, 0) == target.in_flight:
             # A slot that passes from one request to the next changes no count.
             return
-        self.said[target.process] = target.in_flight
-        self.told_since = True
+        self.sent[target.process] = target.in_flight
+        self.changed_since_full = True
         self._send([target])
 
     def _send(self, targets: list[TargetState], whole: bool = False) -> None:
@@ -126,7 +126,7 @@
         payload = encode(message)
         self.exchange.publish(Topic.IN_FLIGHT, payload, Scope.NEAR)
 
-    def _take(self, sender: HostId, payload: bytes) -> None:
+    def _on_counts(self, sender: HostId, payload: bytes) -> None:
         try:
             message = decode(InFlightCounts, payload)
         except MalformedMessage:
@@ -135,34 +135,36 @@
             )
             return
         if message.whole:
-            self._clear(sender, {count.target for count in message.counts})
+            self._drop_unlisted(
+                sender, {count.target for count in message.counts}
+            )
         for count in message.counts:
-            hosts = self.told[count.target]
+            hosts = self.reported[count.target]
             if count.count > 0:
                 hosts[sender] = count.count
             else:
                 hosts.pop(sender, None)
-            self._sum_up(count.target)
+            self._update_total(count.target)
         if message.samples and self.sharing is not None:
             self.sharing.take(message.samples)
 
-    def _clear(self, sender: HostId, listed: set[int]) -> None:
+    def _drop_unlisted(self, sender: HostId, listed: set[int]) -> None:
         """Drop the counts of `sender` at targets that it did not list."""
-        for number, hosts in list(self.told.items()):
+        for number, hosts in list(self.reported.items()):
             if sender in hosts and number not in listed:
                 del hosts[sender]
-                self._sum_up(number)
+                self._update_total(number)
 
-    def _sum_up(self, number: int) -> None:
+    def _update_total(self, number: int) -> None:
         target = self.hashes.find(number)
         if target is None:
             return
         before = target.told_in_flight
-        target.told_in_flight = self.told[number].total()
+        target.told_in_flight = self.reported[number].total()
         if target.told_in_flight < before:
-            self._note_room(target, target.in_flight + before)
+            self._offer_slot(target, target.in_flight + before)
 
-    def _note_room(self, target: TargetState, before: int) -> None:
+    def _offer_slot(self, target: TargetState, before: int) -> None:
         """Offer a freed slot to waiting requests, in turn if it was full.
 
         Args:
@@ -180,23 +182,23 @@
         target.room_at = Deadline(
             trio.current_time() + earlier * self.turn_seconds
         )
-        self.offers[target.id] = target.room_at
-        self.offered.set()
+        self.turns[target.id] = target.room_at
+        self.turn_added.set()
 
-    async def _offer_on(self) -> None:
+    async def _run_offers(self) -> None:
         """Notify waiting requests of freed slots in this host's turns."""
         while True:
-            self.offered = trio.Event()
-            soonest = min(self.offers.values(), default=Deadline(float("inf")))
+            self.turn_added = trio.Event()
+            soonest = min(self.turns.values(), default=Deadline(float("inf")))
             with trio.move_on_at(soonest):
-                await self.offered.wait()
+                await self.turn_added.wait()
             self._offer_due()
 
     def _offer_due(self) -> None:
         now = trio.current_time()
-        due = [each for each, at in self.offers.items() if at <= now]
+        due = [each for each, at in self.turns.items() if at <= now]
         for target_id in due:
-            del self.offers[target_id]
+            del self.turns[target_id]
         services = {
             self.registry.by_id[each].service
             for each in due
@@ -205,21 +207,21 @@
         for service in services:
             self.registry.notify(service)
 
-    def _mark_told(self) -> None:
+    def _mark_fully_reported(self) -> None:
         """Set for each target whether all hosts send their counts of it."""
         for target in self.registry.by_id.values():
             target.told_by_all = self.exchange.shares_target(
                 target.id, target.failure_domain
             )
 
-    def _forget_gone(self) -> None:
+    def _drop_departed(self) -> None:
         """Drop the counts of removed targets and of hosts that left."""
-        for number in self.told.keys() - self.hashes.known():
-            del self.told[number]
+        for number in self.reported.keys() - self.hashes.known():
+            del self.reported[number]
         live = {peer.id for peer in self.exchange.near_peers()}
-        for number, hosts in list(self.told.items()):
-            gone = hosts.keys() - live
-            for host in gone:
+        for number, hosts in list(self.reported.items()):
+            departed = hosts.keys() - live
+            for host in departed:
                 del hosts[host]
-            if gone:
-                self._sum_up(number)
+            if departed:
+                self._update_total(number)
--- a/agatetack/measure/test_occupancy.py
+++ b/agatetack/measure/test_occupancy.py
@@ -28,16 +28,16 @@
         self.occupancy = Occupancy(
             self.registry, mesh.join(self.name), self.metrics
         )
-        self.room = 0
-        self.room_times = []
-        self.registry.watchers.append(self.note_room)
+        self.slot_notices = 0
+        self.notice_times = []
+        self.registry.watchers.append(self.note_slot)
 
     def list(self, count):
         self.registry.update([listed_target(n + 1) for n in range(count)])
 
-    def note_room(self, service):
-        self.room += 1
-        self.room_times.append(trio.current_time())
+    def note_slot(self, service):
+        self.slot_notices += 1
+        self.notice_times.append(trio.current_time())
 
     def target(self, number=1):
         return self.registry.by_id[listed_target(number).id]
@@ -64,12 +64,12 @@
         assert one.target().told_in_flight == 3
         assert one.target(2).told_in_flight == 0
         assert two.target().told_in_flight == 2
-        before = one.room
+        before = one.slot_notices
         two.set(0)
         await trio.sleep(0.01)
         assert one.target().told_in_flight == 2
         # Waiting requests are notified when there is a free slot.
-        assert one.room == before + 1
+        assert one.slot_notices == before + 1
         nursery.cancel_scope.cancel()
 
 
@@ -156,7 +156,7 @@
         step = others[0].occupancy.turn_seconds
         assert gaps <= {step, 2 * step}
         for host in others:
-            assert host.room_times[-1] == pytest.approx(host.target().room_at)
+            assert host.notice_times[-1] == pytest.approx(host.target().room_at)
         nursery.cancel_scope.cancel()
 
 
@@ -178,10 +178,10 @@
         await start(nursery, one, two)
         two.set(2)
         await trio.sleep(0.01)
-        before = len(one.room_times)
+        before = len(one.notice_times)
         two.set(2)
         await trio.sleep(0.5)
-        assert len(one.room_times) == before
+        assert len(one.notice_times) == before
         assert one.target().told_in_flight == 2
         nursery.cancel_scope.cancel()
 
