--- a/agatetack/measure/occupancy.py
+++ b/agatetack/measure/occupancy.py
@@ -146,7 +146,7 @@
                 hosts.pop(sender, None)
             self._update_total(count.target)
         if message.samples and self.sharing is not None:
-            self.sharing.take(message.samples)
+            self.sharing.apply(message.samples)
 
     def _drop_unlisted(self, sender: HostId, listed: set[int]) -> None:
         """Drop the counts of `sender` at targets that it did not list."""
--- a/agatetack/measure/prober.py
+++ b/agatetack/measure/prober.py
@@ -36,7 +36,7 @@
 they don't know all other hosts yet.
 """
 
-LOOK_AGAIN_SECONDS = 0.05
+MAX_BUDGET_POLL_SECONDS = 0.05
 """Maximum time between two checks of a budget that is spent."""
 
 LEAVING_PROBE_SECONDS = 1.0
@@ -174,7 +174,7 @@
         )
         now = trio.current_time()
         # Probes in progress may put bytes back before that.
-        return min(max(ready_at, now + 0.001), now + LOOK_AGAIN_SECONDS)
+        return min(max(ready_at, now + 0.001), now + MAX_BUDGET_POLL_SECONDS)
 
     def _pick(self) -> TargetState | None:
         """Return a drawn target with the oldest report, or None."""
--- a/agatetack/measure/samples.py
+++ b/agatetack/measure/samples.py
@@ -36,10 +36,10 @@
 CHANGED_RESERVE_BYTES = 80
 """Bytes reserved for each peer, to report a slow target without waiting."""
 
-LEAST_INTERVAL_SECONDS = 0.01
+MIN_INTERVAL_SECONDS = 0.01
 """Minimum time between two messages."""
 
-LOOK_AGAIN_SECONDS = 0.05
+MAX_BUDGET_POLL_SECONDS = 0.05
 """Maximum time between two checks of a budget that is spent."""
 
 DEFAULT_SLOTS = 2
@@ -48,11 +48,11 @@
 USUAL_PERCENT = 100
 """Slowness, in percent, of a target where work takes as long as usual."""
 
-FAR_SECONDS = 0.25
+FAR_INTERVAL_SECONDS = 0.25
 """Minimum interval at which the first leader of a group in a large fleet sends
 changes of the group's targets to the other groups."""
 
-FAR_GROUP_SECONDS = 0.025
+FAR_INTERVAL_PER_GROUP_SECONDS = 0.025
 """The same for each group of the fleet, so that a host receives at most 40 such
 messages a second, however many groups there are."""
 
@@ -70,11 +70,12 @@
 
     Attributes:
         fresh: Targets measured since the last message, latest last.
-        any_fresh: Set when there is something in `fresh`.
+        fresh_added: Set when there is something in `fresh`.
         near_filter: Tracks what was sent to nearby hosts, which also receive
             the request counts of all hosts.
-        known: Targets of this group with a load report since the last message
-            to the other groups.
+        far_pending: Targets of this group with a load report since the last
+            message to the other groups.
+        far_pending_added: Set when there is something in `far_pending`.
         far_filter: Tracks what was sent to the other groups.
         far_samples: Relays samples of the other groups to this group.
     """
@@ -101,66 +102,68 @@
         self.near_filter = UpdateFilter(registry, unreported_load)
         self.far_filter = UpdateFilter(registry, total_load)
         self.far_samples = FarSamples(exchange)
-        self.known: dict[ProcessId, TargetState] = {}
-        self.any_known = trio.Event()
+        self.far_pending: dict[ProcessId, TargetState] = {}
+        self.far_pending_added = trio.Event()
         self.registry = registry
         self.exchange = exchange
         self.metrics = metrics
         self.bucket = bucket
         self.fresh: dict[ProcessId, TargetState] = {}
-        self.any_fresh = trio.Event()
+        self.fresh_added = trio.Event()
         self.hashes = TargetHashes(registry)
-        registry.report_watchers.append(self._measured)
+        registry.report_watchers.append(self._on_report)
         registry.changed_watchers.append(self._send_changed)
         registry.leaving_watchers.append(self._send_sign)
-        exchange.subscribe(Topic.LOAD_SAMPLES, self._take_samples)
-        exchange.subscribe(Topic.TARGET_SIGNS, self._take_sign)
+        exchange.subscribe(Topic.LOAD_SAMPLES, self._on_samples)
+        exchange.subscribe(Topic.TARGET_SIGNS, self._on_sign)
 
     async def run(self) -> None:
         """Send samples until cancelled, to other groups at longer intervals."""
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(self._tell_far)
+            nursery.start_soon(self._run_far)
             nursery.start_soon(self.far_samples.run)
-            await self._tell_near()
+            await self._run_near()
 
-    async def _tell_far(self) -> None:
+    async def _run_far(self) -> None:
         """Send changes of this group's targets to the other groups."""
         while True:
             # An idle host must not wake up at all.
-            await self.any_known.wait()
-            self.any_known = trio.Event()
-            await trio.sleep(self._far_seconds())
+            await self.far_pending_added.wait()
+            self.far_pending_added = trio.Event()
+            await trio.sleep(self._far_interval_seconds())
             if not self.exchange.is_first_leader:
-                self.known.clear()
+                self.far_pending.clear()
                 continue
             updates = [
                 target
-                for target in self.known.values()
+                for target in self.far_pending.values()
                 if self.far_filter.take(target, target.report)
             ]
-            self.known.clear()
+            self.far_pending.clear()
             for first in range(0, len(updates), MAX_SAMPLES):
                 payload = self._encode(updates[first : first + MAX_SAMPLES])
                 self.exchange.publish(Topic.LOAD_SAMPLES, payload, Scope.FAR)
 
-    def _far_seconds(self) -> float:
+    def _far_interval_seconds(self) -> float:
         groups = len(self.exchange.first_leaders())
-        return max(FAR_SECONDS, groups * FAR_GROUP_SECONDS)
+        return max(
+            FAR_INTERVAL_SECONDS, groups * FAR_INTERVAL_PER_GROUP_SECONDS
+        )
 
-    async def _tell_near(self) -> None:
+    async def _run_near(self) -> None:
         """Send fresh samples as often as the budget allows."""
         while True:
             # An idle host must not wake up at all.
-            await self.any_fresh.wait()
-            await trio.sleep(LEAST_INTERVAL_SECONDS)
+            await self.fresh_added.wait()
+            await trio.sleep(MIN_INTERVAL_SECONDS)
             peers = len(self.exchange.near_peers())
             # Without peers the samples are dropped: by the time that a peer
             # connects they are outdated.
             if not peers or self._send_fresh(peers):
                 self.fresh.clear()
-                self.any_fresh = trio.Event()
+                self.fresh_added = trio.Event()
             else:
-                await trio.sleep_until(self._look_again_at(peers))
+                await trio.sleep_until(self._next_check_at(peers))
 
     def take_fresh(self) -> list[LoadSample]:
         """Return the waiting samples for a message that is sent anyway.
@@ -186,9 +189,9 @@
         latest = list(self.fresh.values())[-MAX_SAMPLES:]
         return self._send(latest, peers, CHANGED_RESERVE_BYTES * peers)
 
-    def _look_again_at(self, peers: int) -> float:
+    def _next_check_at(self, peers: int) -> float:
         ready_at = self.bucket.ready_at(CHANGED_RESERVE_BYTES * peers)
-        return min(ready_at, trio.current_time() + LOOK_AGAIN_SECONDS)
+        return min(ready_at, trio.current_time() + MAX_BUDGET_POLL_SECONDS)
 
     def _send_changed(self, target: TargetState) -> None:
         """Report a target to the peers at once, if the budget allows."""
@@ -263,30 +266,30 @@
         if said_ms > 0:
             sample.rate_said_ms = said_ms
 
-    def _measured(self, target: TargetState, report: LoadReport) -> None:
+    def _on_report(self, target: TargetState, report: LoadReport) -> None:
         # Checks a flag instead of looking up the name, as each report of a
         # target gets here.
         if self.exchange.is_first_leader and target.told_by_all:
-            self.known[target.process] = target
-            self.any_known.set()
+            self.far_pending[target.process] = target
+            self.far_pending_added.set()
         if report.source is ReportSource.PEER:
             return
         if not self.updates_only or self.near_filter.take(target, report):
             # Move it to the end, so that the latest remain if not all fit.
             self.fresh.pop(target.process, None)
             self.fresh[target.process] = target
-            self.any_fresh.set()
+            self.fresh_added.set()
 
-    def _take_samples(self, sender: HostId, payload: bytes) -> None:
+    def _on_samples(self, sender: HostId, payload: bytes) -> None:
         try:
             message = decode(LoadSamples, payload)
         except MalformedMessage:
             self._drop("samples-malformed")
             return
-        self.take(message.samples)
+        self.apply(message.samples)
         self.far_samples.note(sender, message.samples)
 
-    def take(self, samples: Sequence[LoadSample]) -> None:
+    def apply(self, samples: Sequence[LoadSample]) -> None:
         """Apply the samples of targets that a peer sent."""
         now = trio.current_time()
         for sample in samples:
@@ -327,7 +330,7 @@
         # peers send requests to a target that is leaving.
         self.exchange.publish(Topic.TARGET_SIGNS, payload)
 
-    def _take_sign(self, sender: HostId, payload: bytes) -> None:
+    def _on_sign(self, sender: HostId, payload: bytes) -> None:
         try:
             message = decode(TargetSign, payload)
         except MalformedMessage:
--- a/agatetack/measure/test_occupancy.py
+++ b/agatetack/measure/test_occupancy.py
@@ -197,7 +197,7 @@
         waiting, self.waiting = self.waiting, []
         return waiting
 
-    def take(self, samples):
+    def apply(self, samples):
         self.taken += samples
 
 
