--- a/agatetack/measure/samples.py
+++ b/agatetack/measure/samples.py
@@ -12,7 +12,7 @@
 from agatetack.ids import Deadline, HostId, ProcessId
 from agatetack.logs import PartLog
 from agatetack.measure.budget import TokenBucket
-from agatetack.measure.far_samples import MAX_SAMPLES, FarSamples
+from agatetack.measure.far_samples import MAX_SAMPLES, FarSampleRelay
 from agatetack.measure.hashes import TargetHashes, target_hash
 from agatetack.measure.update_filter import (
     UpdateFilter,
@@ -77,7 +77,7 @@
             message to the other groups.
         far_pending_added: Set when there is something in `far_pending`.
         far_filter: Tracks what was sent to the other groups.
-        far_samples: Relays samples of the other groups to this group.
+        far_relay: Relays samples of the other groups to this group.
     """
 
     def __init__(
@@ -101,7 +101,7 @@
         self.updates_only = updates_only
         self.near_filter = UpdateFilter(registry, unreported_load)
         self.far_filter = UpdateFilter(registry, total_load)
-        self.far_samples = FarSamples(exchange)
+        self.far_relay = FarSampleRelay(exchange)
         self.far_pending: dict[ProcessId, TargetState] = {}
         self.far_pending_added = trio.Event()
         self.registry = registry
@@ -121,7 +121,7 @@
         """Send samples until cancelled, to other groups at longer intervals."""
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self._run_far)
-            nursery.start_soon(self.far_samples.run)
+            nursery.start_soon(self.far_relay.run)
             await self._run_near()
 
     async def _run_far(self) -> None:
@@ -287,7 +287,7 @@
             self._drop("samples-malformed")
             return
         self.apply(message.samples)
-        self.far_samples.note(sender, message.samples)
+        self.far_relay.collect(sender, message.samples)
 
     def apply(self, samples: Sequence[LoadSample]) -> None:
         """Apply the samples of targets that a peer sent."""
--- a/agatetack/measure/test_far_samples.py
+++ b/agatetack/measure/test_far_samples.py
@@ -11,8 +11,8 @@
 from agatetack.ids import HostId
 from agatetack.measure.far_samples import (
     MAX_SAMPLES,
-    PASS_ON_SECONDS,
-    FarSamples,
+    RELAY_INTERVAL_SECONDS,
+    FarSampleRelay,
 )
 from agatetack.peers.exchange import NoExchange, Scope, Topic
 from agatetack.thrift_codec import decode
@@ -48,12 +48,12 @@
 
 async def gather(exchange, told, nursery):
     """Receive the samples of `told`, 10 ms apart; return what is relayed."""
-    far = FarSamples(exchange)
-    nursery.start_soon(far.run)
-    for sender, heard in told:
-        far.note(HostId(sender), [heard])
+    relay = FarSampleRelay(exchange)
+    nursery.start_soon(relay.run)
+    for sender, received in told:
+        relay.collect(HostId(sender), [received])
         await trio.sleep(0.01)
-    await trio.sleep(2 * PASS_ON_SECONDS)
+    await trio.sleep(2 * RELAY_INTERVAL_SECONDS)
     return exchange.published
 
 
@@ -81,10 +81,10 @@
 
 async def test_many_samples_go_in_several_messages(autojump_clock, nursery):
     exchange = GroupExchange()
-    far = FarSamples(exchange)
-    nursery.start_soon(far.run)
-    far.note(FAR, [sample(number) for number in range(MAX_SAMPLES + 1)])
-    await trio.sleep(2 * PASS_ON_SECONDS)
+    relay = FarSampleRelay(exchange)
+    nursery.start_soon(relay.run)
+    relay.collect(FAR, [sample(number) for number in range(MAX_SAMPLES + 1)])
+    await trio.sleep(2 * RELAY_INTERVAL_SECONDS)
     assert [len(message) for message in exchange.published] == [MAX_SAMPLES, 1]
 
 
@@ -94,13 +94,13 @@
     autojump_clock, nursery, warm_up_ms, at_once
 ):
     exchange = GroupExchange()
-    far = FarSamples(exchange)
-    nursery.start_soon(far.run)
+    relay = FarSampleRelay(exchange)
+    nursery.start_soon(relay.run)
     await trio.sleep(1)
-    far.note(FAR, [sample(1, warm_up_ms=warm_up_ms)])
+    relay.collect(FAR, [sample(1, warm_up_ms=warm_up_ms)])
     await trio.sleep(0.001)
     assert bool(exchange.published) is at_once
-    await trio.sleep(2 * PASS_ON_SECONDS)
+    await trio.sleep(2 * RELAY_INTERVAL_SECONDS)
     assert len(exchange.published) == 1
 
 
@@ -118,10 +118,12 @@
     autojump_clock, nursery, fields, aged
 ):
     exchange = GroupExchange()
-    [[passed]] = await gather(exchange, [("far", sample(1, **fields))], nursery)
+    [[relayed]] = await gather(
+        exchange, [("far", sample(1, **fields))], nursery
+    )
     for name, value in aged.items():
-        assert getattr(passed, name) == pytest.approx(value)
-    assert passed.service_us == fields.get("service_us")
+        assert getattr(relayed, name) == pytest.approx(value)
+    assert relayed.service_us == fields.get("service_us")
 
 
 # Guards against one message for each other group in each interval.
@@ -129,11 +131,11 @@
     autojump_clock, nursery
 ):
     exchange = GroupExchange()
-    far = FarSamples(exchange)
-    nursery.start_soon(far.run)
+    relay = FarSampleRelay(exchange)
+    nursery.start_soon(relay.run)
     seconds, groups = 10, 15
     for step in range(seconds * 4):
         for group in range(groups):
-            far.note(FAR, [sample(group, age_ms=step)])
+            relay.collect(FAR, [sample(group, age_ms=step)])
             await trio.sleep(0.25 / groups)
-    assert len(exchange.published) <= seconds / PASS_ON_SECONDS
+    assert len(exchange.published) <= seconds / RELAY_INTERVAL_SECONDS
