--- a/agatetack/measure/prober.py
+++ b/agatetack/measure/prober.py
@@ -186,7 +186,7 @@
             return None
         count = min(DRAWN_TARGETS, len(targets))
         drawn = self.rng.sample(targets, count)
-        return min(drawn, key=_known_at)
+        return min(drawn, key=_reported_at)
 
     async def probe(self, target: TargetState) -> None:
         """Probe one target's load, if allowed, and record the result."""
@@ -234,5 +234,5 @@
             self.registry.note_leaving(target, LeavingSign.CONNECT_REFUSED)
 
 
-def _known_at(target: TargetState) -> float:
+def _reported_at(target: TargetState) -> float:
     return float("-inf") if target.report is None else target.report.at
--- a/agatetack/measure/rounds.py
+++ b/agatetack/measure/rounds.py
@@ -14,10 +14,10 @@
 from agatetack.targets.registry import TargetRegistry
 from agatetack.targets.state import TargetState
 
-OWNERS_SECONDS = 0.1
+OWNERS_INTERVAL_SECONDS = 0.1
 """Interval at which a host determines which targets it has to probe."""
 
-PEERS_SECONDS = 0.3
+MAX_PEERS_WAIT_SECONDS = 0.3
 """Maximum time that a starting host waits for connections with its peers.
 
 Without them it probes all targets itself. The wait saved a fifth of the
@@ -25,17 +25,17 @@
 14 hosts lost power or were killed).
 """
 
-PEERS_POLL_SECONDS = 0.01
+PEERS_POLL_INTERVAL_SECONDS = 0.01
 """Interval between checks for these connections."""
 
-MOST_UNEVEN = 2.0
+MAX_TARGETS_RATIO = 2.0
 """Maximum number of targets that a host probes because they are in its failure
 domain, as a multiple of the mean over all hosts. Otherwise a single host among
 many targets would have no processor time left for requests."""
 
 
-LARGEST_FLEET = 1000
-"""Number of hosts assumed while the size of the fleet is unknown."""
+MAX_FLEET_SIZE = 1000
+"""Upper bound of the number of hosts, assumed while it is unknown."""
 
 
 class ProbeRounds:
@@ -101,31 +101,31 @@
         """Probe until cancelled."""
         if self.rate <= 0:
             return
-        await self._until_linked()
+        await self._wait_for_peers()
         async with trio.open_nursery() as nursery:
             while True:
-                self._find_owned()
+                self._update_owned()
                 for target in self.owned.values():
                     if target.id not in self.probing:
                         self.probing.add(target.id)
-                        nursery.start_soon(self._probe_on, target)
-                await trio.sleep(OWNERS_SECONDS)
+                        nursery.start_soon(self._probe_owned, target)
+                await trio.sleep(OWNERS_INTERVAL_SECONDS)
 
-    async def _until_linked(self) -> None:
-        with trio.move_on_after(PEERS_SECONDS):
+    async def _wait_for_peers(self) -> None:
+        with trio.move_on_after(MAX_PEERS_WAIT_SECONDS):
             while len(self.exchange.near_peers()) < self._wanted_peers():
-                await trio.sleep(PEERS_POLL_SECONDS)
+                await trio.sleep(PEERS_POLL_INTERVAL_SECONDS)
 
     def _wanted_peers(self) -> int:
         hosts = len(self.exchange.group_hosts()) or self.exchange.fleet_size()
         return min(hosts - 1, self.max_peers)
 
-    def _find_owned(self) -> None:
+    def _update_owned(self) -> None:
         hosts = {self.own: self.domain}
         for peer in self._probing_hosts():
             if not peer.leaving:
                 hosts[peer.id] = peer.failure_domain
-        self.share = min(1.0, len(hosts) / self._most_hosts())
+        self.share = min(1.0, len(hosts) / self._max_hosts())
         view = (hosts, self.registry.changes)
         if view == self.view:
             return
@@ -135,11 +135,11 @@
             for target in self.registry.by_id.values()
             if self.exchange.shares_target(target.id, target.failure_domain)
         ]
-        able = able_hosts(hosts, targets)
+        eligible = eligible_hosts(hosts, targets)
         self.owned = {
             target.id: target
             for target in targets
-            if owner(able[target.failure_domain], target.id) == self.own
+            if owner(eligible[target.failure_domain], target.id) == self.own
         }
 
     def _probing_hosts(self) -> Sequence[Peer]:
@@ -148,46 +148,46 @@
             return self.exchange.near_peers()
         return self.exchange.known_hosts()
 
-    def _most_hosts(self) -> int:
+    def _max_hosts(self) -> int:
         """Return how many hosts may probe the same targets, never too low."""
         size = self.fleet_size()
         if size is None:
-            return LARGEST_FLEET
+            return MAX_FLEET_SIZE
         return len(self.exchange.group_hosts()) or size
 
-    async def _probe_on(self, target: TargetState) -> None:
+    async def _probe_owned(self, target: TargetState) -> None:
         """Probe `target` while this host owns it."""
         # Jitter keeps the probes of different hosts from synchronizing.
-        play = self.random.uniform(0.0, 1.0)
+        jitter = self.random.uniform(0.0, 1.0)
         probed_at = trio.current_time()
         try:
-            while await self._until_due(target, probed_at, play):
+            while await self._wait_until_due(target, probed_at, jitter):
                 probed_at = trio.current_time()
-                play = self.random.uniform(0.8, 1.2)
+                jitter = self.random.uniform(0.8, 1.2)
                 if self.registry.may_be_probed(target):
                     await self.prober.probe(target)
         finally:
             self.probing.discard(target.id)
 
-    async def _until_due(
-        self, target: TargetState, probed_at: float, play: float
+    async def _wait_until_due(
+        self, target: TargetState, probed_at: float, jitter: float
     ) -> bool:
         """Wait until the next probe is due; return whether it is to be made.
 
         It is not if this host no longer owns the target.
         """
         while self.owned.get(target.id) is target:
-            known_at = max(probed_at, _known_at(target))
-            due_at = known_at + play / self.rate / self.share
+            last_at = max(probed_at, _reported_at(target))
+            due_at = last_at + jitter / self.rate / self.share
             now = trio.current_time()
             if now >= due_at:
                 return True
             # The share may grow meanwhile; just after a start it is near 0.
-            await trio.sleep_until(min(due_at, now + OWNERS_SECONDS))
+            await trio.sleep_until(min(due_at, now + OWNERS_INTERVAL_SECONDS))
         return False
 
 
-def _known_at(target: TargetState) -> float:
+def _reported_at(target: TargetState) -> float:
     """Return when the target last reported what a probe would show.
 
     A target that gets requests reports its load in responses and to pre-send
@@ -201,7 +201,7 @@
     return report.at
 
 
-def able_hosts(
+def eligible_hosts(
     hosts: Mapping[HostId, FailureDomain], targets: Sequence[TargetState]
 ) -> Mapping[FailureDomain, Sequence[HostId]]:
     """Return which hosts may probe the targets of each failure domain.
@@ -213,11 +213,11 @@
     near: dict[FailureDomain, list[HostId]] = defaultdict(list)
     for host, domain in hosts.items():
         near[domain].append(host)
-    most = MOST_UNEVEN * len(targets) / len(hosts)
+    max_targets = MAX_TARGETS_RATIO * len(targets) / len(hosts)
     counts = Counter(target.failure_domain for target in targets)
     return {
         domain: near[domain]
-        if count <= most * len(near[domain])
+        if count <= max_targets * len(near[domain])
         else list(hosts)
         for domain, count in counts.items()
     }
--- a/agatetack/measure/test_rounds.py
+++ b/agatetack/measure/test_rounds.py
@@ -6,7 +6,7 @@
 import trio
 
 from agatetack.ids import Deadline, FailureDomain, HostId
-from agatetack.measure.rounds import ProbeRounds, able_hosts
+from agatetack.measure.rounds import ProbeRounds, eligible_hosts
 from agatetack.metrics import Metrics
 from agatetack.peers.exchange import NoExchange, Peer
 from agatetack.peers.groups import Groups
@@ -129,7 +129,7 @@
     registry.update(
         [listed_target(n, domain=d) for n, d in enumerate(domains, 1)]
     )
-    found = able_hosts(hosts, list(registry.by_id.values()))
+    found = eligible_hosts(hosts, list(registry.by_id.values()))
     assert {domain: set(names) for domain, names in found.items()} == able
 
 
