--- a/agatetack/attempts/hedger.py
+++ b/agatetack/attempts/hedger.py
@@ -8,7 +8,7 @@
 
 from agatetack.ids import Deadline
 
-SHORTEST_SLEEP_SECONDS = 0.001
+MIN_SLEEP_SECONDS = 0.001
 """Minimum time between two checks of the timers; most are stopped before they
 are due."""
 
@@ -78,7 +78,7 @@
         self.wake = trio.Event()
         self.asleep_until = Deadline(float("inf"))
         if self.heap:
-            soonest = trio.current_time() + SHORTEST_SLEEP_SECONDS
+            soonest = trio.current_time() + MIN_SLEEP_SECONDS
             self.asleep_until = Deadline(max(self.heap[0][0], soonest))
         with trio.move_on_at(self.asleep_until):
             await self.wake.wait()
--- a/agatetack/attempts/once.py
+++ b/agatetack/attempts/once.py
@@ -19,7 +19,7 @@
 from agatetack.targets.client import AttemptFailure, Freshness
 from agatetack.unique import new_attempt_id
 
-RELEASE_SHARE = 0.1
+RELEASE_TIME_RATIO = 0.1
 """Share of the remaining time reserved for releasing an unused claim."""
 
 
@@ -134,7 +134,7 @@
         wanted = PermitRequest(
             route=route,
             request=request,
-            deadline=Deadline(request.deadline - left * RELEASE_SHARE),
+            deadline=Deadline(request.deadline - left * RELEASE_TIME_RATIO),
             avoid=state.tried,
         )
         return await self.admission.acquire(wanted)
@@ -142,10 +142,10 @@
     def _may_try_again(
         self, route: Route, request: CallerRequest, state: OnceState
     ) -> bool:
-        most = route.max_attempts or self.limits.max_attempts
+        limit = route.max_attempts or self.limits.max_attempts
         return (
             state.failure.outcome is Outcome.NOT_RUN
-            and state.sent < most
+            and state.sent < limit
             and trio.current_time() < request.deadline
             and request.replayable
             and (not state.failure.sent or self.fleet.spend(route.service))
--- a/agatetack/attempts/race.py
+++ b/agatetack/attempts/race.py
@@ -39,32 +39,32 @@
 
 log = PartLog("attempts")
 
-ON_NEW = frozenset({RetryReason.HEDGE, RetryReason.STALLED})
+NEW_CONNECTION_REASONS = frozenset({RetryReason.HEDGE, RetryReason.STALLED})
 """Second attempts that use a new connection, as the first one may be late
 because open connections no longer deliver anything."""
 
-BEFORE_BODY = frozenset(
+BEFORE_BODY_REASONS = frozenset(
     {RetryReason.CONNECT_FAILED, RetryReason.TARGET_UNWILLING}
 )
 """Failures that occur before any byte of the request's body is read. After
 others the start of a streamed body is lost, even if the target did not run the
 request."""
 
-LEAST_LEFT = 2
+MIN_LEFT_FOR_HEDGE = 2
 """Attempts that the fleet's budget must still allow for a hedge to be sent;
 the rest is reserved for requests that would fail otherwise."""
 
-FORGET_SECONDS = 60.0
+CLEANUP_INTERVAL_SECONDS = 60.0
 """Interval at which the state of removed routes is dropped."""
 
-STALL_FACTOR = 3.0
+STALL_RATIO = 3.0
 """Multiple of a route's late threshold after which a response counts as
 stalled: it may never come."""
 
-SHORTEST_STALL_SECONDS = 0.05
+MIN_STALL_SECONDS = 0.05
 """Minimum time after which a response counts as stalled."""
 
-UNLEARNED_STALL_SHARE = 1 / 3
+DEFAULT_STALL_TIME_RATIO = 1 / 3
 """Share of the remaining time after which a response counts as stalled on a
 route whose usual latency is not known yet."""
 
@@ -75,7 +75,7 @@
     Attributes:
         retries: Budget of retries, by route.
         hedges: Budget of hedges, by route.
-        late_after: Latency above which responses are late, by route.
+        quantiles: Latency above which responses are late, by route.
         hedger: Timers of the requests in progress; its `run` must run.
     """
 
@@ -104,7 +104,7 @@
         self.metrics = metrics
         self.retries = RouteBudgets(limits.retry_ratio, limits.retry_burst)
         self.hedges = RouteBudgets(limits.hedge_ratio, limits.hedge_burst)
-        self.late_after: dict[RouteId, LatencyQuantile] = {}
+        self.quantiles: dict[RouteId, LatencyQuantile] = {}
         self.hedger = Hedger()
 
     async def run(
@@ -138,20 +138,20 @@
             raise
         if state.answer is None:
             return Failure(self._refusal(state))
-        self._learn(route.id, trio.current_time() - started)
+        self._add_latency(route.id, trio.current_time() - started)
         return Success(state.answer)
 
     async def forget_routes(self, routes: RouteSource) -> None:
         """Drop the state of removed routes periodically, until cancelled."""
         while True:
-            await trio.sleep(FORGET_SECONDS)
+            await trio.sleep(CLEANUP_INTERVAL_SECONDS)
             if routes.table is None:
                 continue
             present = set(routes.table.routes)
             self.retries.keep_only(present)
             self.hedges.keep_only(present)
-            for route in self.late_after.keys() - present:
-                del self.late_after[route]
+            for route in self.quantiles.keys() - present:
+                del self.quantiles[route]
 
     async def _race(
         self, state: RaceState, permit: Permit, hedged: bool
@@ -159,8 +159,8 @@
         """Make attempts in sequence, and one in parallel to a late one."""
         self._set_timer(state, hedged)
         try:
-            with state.in_turn:
-                await self._in_turn(state, permit)
+            with state.sequence_scope:
+                await self._run_sequence(state, permit)
         finally:
             if state.timer is not None:
                 state.timer.stop()
@@ -174,9 +174,9 @@
         if not state.request.replayable:
             # Two attempts would each read a part of the same stream.
             return
-        late_after = self._hedge_after(state.route)
-        if hedged and late_after is not None:
-            when = Deadline(trio.current_time() + late_after)
+        hedge_delay = self._hedge_delay(state.route)
+        if hedged and hedge_delay is not None:
+            when = Deadline(trio.current_time() + hedge_delay)
             action = functools.partial(self._hedge, state)
             state.timer = self.hedger.after(when, action)
         else:
@@ -184,15 +184,17 @@
 
     def _set_stall_timer(self, state: RaceState) -> None:
         now = trio.current_time()
-        late_after = self._late_after(state.route.id)
-        if late_after is None:
-            wait = (state.request.deadline - now) * UNLEARNED_STALL_SHARE
+        late_threshold = self._late_threshold(state.route.id)
+        if late_threshold is None:
+            wait = (state.request.deadline - now) * DEFAULT_STALL_TIME_RATIO
         else:
-            wait = max(late_after * STALL_FACTOR, SHORTEST_STALL_SECONDS)
+            wait = max(late_threshold * STALL_RATIO, MIN_STALL_SECONDS)
         action = functools.partial(self._fail_over, state)
         state.timer = self.hedger.after(Deadline(now + wait), action)
 
-    async def _in_turn(self, state: RaceState, permit: Permit | None) -> None:
+    async def _run_sequence(
+        self, state: RaceState, permit: Permit | None
+    ) -> None:
         """Make attempts one after the other until one is answered."""
         while permit is not None:
             await self._attempt(state, permit, retry_reason(state.failure))
@@ -204,9 +206,9 @@
 
     async def _hedge(self, state: RaceState) -> None:
         """Send a hedge if the first attempt is still in progress."""
-        spare = self.fleet.left(state.route.service) >= LEAST_LEFT
+        spare = self.fleet.left(state.route.service) >= MIN_LEFT_FOR_HEDGE
         if state.needs_second() and spare and self._spend(state, self.hedges):
-            await self._second(state, RetryReason.HEDGE)
+            await self._second_attempt(state, RetryReason.HEDGE)
         if state.needs_second():
             self._set_stall_timer(state)
 
@@ -217,12 +219,12 @@
         until its deadline.
         """
         if state.needs_second() and self._spend(state, self.retries):
-            await self._second(state, RetryReason.STALLED)
+            await self._second_attempt(state, RetryReason.STALLED)
 
     def _may_start(self, state: RaceState) -> bool:
         """Return whether the request may go to one more target."""
-        most = state.route.max_attempts or self.limits.max_attempts
-        return state.started < most
+        limit = state.route.max_attempts or self.limits.max_attempts
+        return state.started < limit
 
     def _spend(self, state: RaceState, budgets: RouteBudgets) -> bool:
         """Spend one more attempt from both budgets, or from neither."""
@@ -236,7 +238,9 @@
         budget.give_back()
         return False
 
-    async def _second(self, state: RaceState, reason: RetryReason) -> None:
+    async def _second_attempt(
+        self, state: RaceState, reason: RetryReason
+    ) -> None:
         if self.single.crashes.check(state.route, state.request) is not None:
             return
         permit = await self._permit(state, wait=False)
@@ -260,7 +264,7 @@
         state.second = None
         second.done.set()
         if state.answer is not None:
-            state.in_turn.cancel()
+            state.sequence_scope.cancel()
 
     async def _attempt(
         self, state: RaceState, permit: Permit, reason: RetryReason | None
@@ -293,7 +297,9 @@
     def _freshness(self, reason: RetryReason | None) -> Freshness:
         if reason is RetryReason.HEDGE and not self.limits.hedge_on_new:
             return Freshness.ANY
-        return Freshness.NEW if reason in ON_NEW else Freshness.ANY
+        return (
+            Freshness.NEW if reason in NEW_CONNECTION_REASONS else Freshness.ANY
+        )
 
     async def _permit(self, state: RaceState, wait: bool) -> Permit | None:
         wanted = PermitRequest(
@@ -314,7 +320,7 @@
         reason = RETRY_REASONS.get(state.failure.reason)
         if reason is None or not self._may_start(state):
             return None
-        if not state.request.replayable and reason not in BEFORE_BODY:
+        if not state.request.replayable and reason not in BEFORE_BODY_REASONS:
             return None
         if trio.current_time() >= state.request.deadline:
             return None
@@ -342,7 +348,7 @@
             retry_at = self.admission.retry_at(state.route)
         return dataclasses.replace(refusal, retry_at=retry_at)
 
-    def _hedge_after(self, route: Route) -> float | None:
+    def _hedge_delay(self, route: Route) -> float | None:
         """Return the seconds after which a response is late enough to hedge.
 
         For a route with a target latency it is a share of that: a response at
@@ -351,17 +357,17 @@
         share = self.limits.hedge_latency_share
         if share and route.target_latency_seconds:
             return share * route.target_latency_seconds
-        return self._late_after(route.id)
+        return self._late_threshold(route.id)
 
-    def _late_after(self, route: RouteId) -> float | None:
-        learned = self.late_after.get(route)
-        if learned is None or learned.value is None:
+    def _late_threshold(self, route: RouteId) -> float | None:
+        latencies = self.quantiles.get(route)
+        if latencies is None or latencies.value is None:
             return None
-        return max(learned.value, self.limits.hedge_min_seconds)
-
-    def _learn(self, route: RouteId, seconds: float) -> None:
-        learned = self.late_after.get(route)
-        if learned is None:
-            learned = LatencyQuantile(self.limits.hedge_quantile)
-            self.late_after[route] = learned
-        learned.add(seconds)
+        return max(latencies.value, self.limits.hedge_min_seconds)
+
+    def _add_latency(self, route: RouteId, seconds: float) -> None:
+        latencies = self.quantiles.get(route)
+        if latencies is None:
+            latencies = LatencyQuantile(self.limits.hedge_quantile)
+            self.quantiles[route] = latencies
+        latencies.add(seconds)
--- a/agatetack/attempts/state.py
+++ b/agatetack/attempts/state.py
@@ -45,7 +45,7 @@
         may_have_run: Whether a target may have run any failed attempt.
         second: The second attempt in progress, or None.
         timer: Starts a second attempt; None if none is allowed.
-        in_turn: Cancels the first attempt and its retries.
+        sequence_scope: Cancels the first attempt and its retries.
         over: Whether the request has ended, so that responses are discarded.
     """
 
@@ -61,7 +61,7 @@
     may_have_run: bool = False
     second: SecondAttempt | None = None
     timer: LateTimer | None = None
-    in_turn: trio.CancelScope = dataclasses.field(
+    sequence_scope: trio.CancelScope = dataclasses.field(
         default_factory=trio.CancelScope
     )
     over: bool = False
--- a/agatetack/attempts/test_race.py
+++ b/agatetack/attempts/test_race.py
@@ -121,7 +121,7 @@
     parts = Parts(ScriptedClient([HANG, OK]))
     runner = parts.runner()
     for _ in range(200 if learned else 0):
-        runner._learn(ROUTE.id, 0.02)
+        runner._add_latency(ROUTE.id, 0.02)
     request = make_request(body=Stream())
     async with trio.open_nursery() as nursery:
         nursery.start_soon(runner.hedger.run)
@@ -163,8 +163,8 @@
     """Run requests whose responses count as late after 20 ms."""
     runner = parts.runner()
     for _ in range(200):
-        runner._learn(ROUTE.id, 0.02)
-    runner.late_after[ROUTE.id].add = lambda seconds: None
+        runner._add_latency(ROUTE.id, 0.02)
+    runner.quantiles[ROUTE.id].add = lambda seconds: None
     async with trio.open_nursery() as nursery:
         nursery.start_soon(runner.hedger.run)
         for _ in range(requests):
@@ -246,7 +246,7 @@
     while runner.hedges.of(ROUTE.id).spend():
         pass
     for _ in range(200 if learned else 0):
-        runner._learn(ROUTE.id, 0.02)
+        runner._add_latency(ROUTE.id, 0.02)
     async with trio.open_nursery() as nursery:
         nursery.start_soon(runner.hedger.run)
         result = await runner.run(ROUTE, make_request(), hedged=hedged)
@@ -267,11 +267,11 @@
     async with trio.open_nursery() as nursery:
         nursery.start_soon(runner.forget_routes, source)
         await trio.sleep(200)
-        assert runner.late_after.keys() == {"r", "gone"}
+        assert runner.quantiles.keys() == {"r", "gone"}
         source.table = RouteTable([ROUTE])
         await trio.sleep(200)
         nursery.cancel_scope.cancel()
-    assert runner.late_after.keys() == {"r"}
+    assert runner.quantiles.keys() == {"r"}
     assert runner.retries.by_route.keys() == {"r"}
     assert runner.hedges.by_route.keys() == {"r"}
 
