--- a/agatetack/attempts/quantile.py
+++ b/agatetack/attempts/quantile.py
@@ -2,10 +2,10 @@
 
 from collections import deque
 
-SAMPLES = 512
+MAX_SAMPLES = 512
 """Number of latest latencies that the quantile is computed from."""
 
-RECOMPUTE_EVERY = 64
+RECOMPUTE_INTERVAL_SAMPLES = 64
 """Samples between two computations; sorting for each one is too expensive."""
 
 MIN_SAMPLES = 64
@@ -23,17 +23,20 @@
     def __init__(self, quantile: float):
         """Start without samples."""
         self.quantile = quantile
-        self.samples: deque[float] = deque(maxlen=SAMPLES)
+        self.samples: deque[float] = deque(maxlen=MAX_SAMPLES)
         self.value: float | None = None
-        self.since = 0
+        self.new_samples = 0
 
     def add(self, seconds: float) -> None:
         """Add one latency, in seconds."""
         self.samples.append(seconds)
-        self.since += 1
-        if self.since < RECOMPUTE_EVERY or len(self.samples) < MIN_SAMPLES:
+        self.new_samples += 1
+        if (
+            self.new_samples < RECOMPUTE_INTERVAL_SAMPLES
+            or len(self.samples) < MIN_SAMPLES
+        ):
             return
-        self.since = 0
+        self.new_samples = 0
         ordered = sorted(self.samples)
         index = min(len(ordered) - 1, int(self.quantile * len(ordered)))
         self.value = ordered[index]
--- a/agatetack/attempts/single.py
+++ b/agatetack/attempts/single.py
@@ -44,7 +44,7 @@
 """Statuses that may be caused by a faulty target; 501 and 505 depend on the
 request alone."""
 
-BYTES_WEIGHT = 0.1
+RESPONSE_BYTES_WEIGHT = 0.1
 """Weight of one response in the moving average of a target's response sizes."""
 
 FAIL_FAST_RATIO = 0.75
@@ -76,15 +76,17 @@
     """A response's body that releases its permit when it ends.
 
     Attributes:
-        shown: The attempt's result if the body arrives completely.
+        complete_result: The attempt's result if the body arrives completely.
     """
 
-    def __init__(self, body: Body, permit: Permit, shown: AttemptResult):
+    def __init__(
+        self, body: Body, permit: Permit, complete_result: AttemptResult
+    ):
         """Read `body` and hold `permit` until its end."""
         self.body = body
         self.length = body.length
         self.permit = permit
-        self.shown = shown
+        self.complete_result = complete_result
         self.released = False
 
     def receive_nowait(self) -> bytes | None:
@@ -101,14 +103,14 @@
             self.release(AttemptResult.FAILED)
             raise
         if not data:
-            self.release(self.shown)
+            self.release(self.complete_result)
         return data
 
     def take_whole(self) -> bytes | None:
         """Return the whole body if all of it arrived and none was read."""
         content = self.body.take_whole()
         if content is not None:
-            self.release(self.shown)
+            self.release(self.complete_result)
         return content
 
     async def aclose(self) -> None:
@@ -144,11 +146,11 @@
     retry_reason: RetryReason | None = None
 
 
-def _held(content: bytes, length: int) -> BytesBody:
+def _buffered(content: bytes, length: int) -> BytesBody:
     """Return a body in memory with the length announced, also for HEAD."""
-    held = BytesBody(content)
-    held.length = length
-    return held
+    buffered = BytesBody(content)
+    buffered.length = length
+    return buffered
 
 
 class SingleAttempt:
@@ -162,7 +164,7 @@
         metrics: Metrics,
     ):
         """Call targets with `client`."""
-        self.max_held_bytes = settings.callers.replay_body_bytes
+        self.max_buffered_bytes = settings.callers.replay_body_bytes
         self.client = client
         self.crashes = crashes
         self.metrics = metrics
@@ -189,36 +191,38 @@
             attempt.id, permit.target.id, started, plan.retry_reason
         )
         plan.request.attempts.append(note)
-        self._tell_sent(plan, permit)
+        self._trace_send(plan, permit)
         try:
             answer = await self.client.call(attempt)
         except AttemptFailed as failed:
             note.failure = failed.failure.reason
             self._note_failure(plan, permit, failed.failure)
-            self._tell_end(plan, note, failed.failure.outcome.value)
+            self._trace_end(plan, note, failed.failure.outcome.value)
             return Failure(failed.failure)
         except BaseException:
             note.cancelled = True
-            self._tell_end(plan, note, "cancelled")
+            self._trace_end(plan, note, "cancelled")
             permit.release(AttemptResult.CANCELLED)
             raise
         finally:
             note.ended = Deadline(trio.current_time())
-        shown = self._note_answer(permit, answer, note.ended - started)
+        complete_result = self._note_answer(
+            permit, answer, note.ended - started
+        )
         if answer.body.length is not None:
             step = answer.body.length - permit.target.answer_bytes
-            permit.target.answer_bytes += BYTES_WEIGHT * step
-        answer.body = PermittedBody(answer.body, permit, shown)
-        failure = await self._hold_small(plan, answer)
+            permit.target.answer_bytes += RESPONSE_BYTES_WEIGHT * step
+        answer.body = PermittedBody(answer.body, permit, complete_result)
+        failure = await self._buffer_small(plan, answer)
         if failure is not None:
             note.failure = failure.reason
-            self._tell_end(plan, note, failure.outcome.value)
+            self._trace_end(plan, note, failure.outcome.value)
             return Failure(failure)
-        self._tell_end(plan, note, str(answer.status))
+        self._trace_end(plan, note, str(answer.status))
         self.crashes.answered(plan.route, plan.request)
         return Success(answer)
 
-    def _tell_sent(self, plan: AttemptPlan, permit: Permit) -> None:
+    def _trace_send(self, plan: AttemptPlan, permit: Permit) -> None:
         """Trace the load report that the attempt is sent on, and its age."""
         target = permit.target
         report = target.report
@@ -235,7 +239,7 @@
             left_ms=round((plan.deadline - trio.current_time()) * 1000),
         )
 
-    def _tell_end(
+    def _trace_end(
         self, plan: AttemptPlan, note: AttemptNote, outcome: str
     ) -> None:
         decisions.held(
@@ -258,7 +262,7 @@
         permit.answered_headers(latency)
         return AttemptResult.ANSWERED
 
-    async def _hold_small(
+    async def _buffer_small(
         self, plan: AttemptPlan, answer: Answer
     ) -> AttemptFailure | None:
         """Buffer a small body, so that a truncated one can be retried.
@@ -267,16 +271,16 @@
             Why the body could not be read, or None.
         """
         length = answer.body.length
-        if length is None or length > self.max_held_bytes:
+        if length is None or length > self.max_buffered_bytes:
             return None
         content = answer.body.take_whole()
         if content is not None:
-            answer.body = _held(content, length)
+            answer.body = _buffered(content, length)
             return None
         try:
             with trio.move_on_at(plan.deadline) as scope:
-                held = await read_whole(answer.body)
-                answer.body = _held(held.content, length)
+                buffered = await read_whole(answer.body)
+                answer.body = _buffered(buffered.content, length)
         except AnswerCut:
             reason = RefusalReason.ANSWER_CUT
         except BaseException:
