--- a/agatetack/attempts/hedger.py
+++ b/agatetack/attempts/hedger.py
@@ -1,4 +1,4 @@
-"""Start second attempts for requests whose responses are late."""
+"""Start second attempts for requests whose answers are late."""
 
 import heapq
 import itertools
@@ -13,7 +13,7 @@
 are due."""
 
 LateAction = Callable[[], Awaitable[None]]
-"""Callback for a late response."""
+"""Callback for a late answer."""
 
 
 class LateTimer:
@@ -37,7 +37,7 @@
 class Hedger:
     """Runs the timers of all requests in one task.
 
-    Nearly every response comes in time, so a timer must be cheap: it is an
+    Nearly every answer comes in time, so a timer must be cheap: it is an
     entry in a heap, not a task and a cancel scope for each request.
     """
 
--- a/agatetack/attempts/once.py
+++ b/agatetack/attempts/once.py
@@ -76,7 +76,7 @@
     async def run(
         self, route: Route, request: CallerRequest
     ) -> Result[Answer, Refusal]:
-        """Return the response, or why there is none."""
+        """Return the answer, or why there is none."""
         claimed = await self.claims.claim(route, request, new_attempt_id())
         if isinstance(claimed, Failure):
             return claimed
--- a/agatetack/attempts/probing_admission.py
+++ b/agatetack/attempts/probing_admission.py
@@ -32,7 +32,7 @@
 
 PROBE_TIMEOUT_SECONDS = 0.08
 """Timeout of a pre-send probe: a round trip between failure domains takes 3 ms,
-and a busy host needs some 20 ms more to read the response."""
+and a busy host needs some 20 ms more to read the answer."""
 
 MAX_PROBE_TIME_RATIO = 0.1
 """Maximum share of the remaining time that one pre-send probe may take."""
@@ -134,7 +134,7 @@
             # It became cold without a report; the permit assumes a warm one.
             verdict = Verdict.COLD
         if not target.is_willing(now):
-            # It said so in response to the probe or to another request.
+            # It said so in answer to the probe or to another request.
             verdict = Verdict.UNWILLING
         self.probes.inc({"result": verdict.value})
         if verdict is not Verdict.ABLE:
--- a/agatetack/attempts/quantile.py
+++ b/agatetack/attempts/quantile.py
@@ -1,4 +1,4 @@
-"""Estimate the latency above which a route's responses count as late."""
+"""Estimate the latency above which a route's answers count as late."""
 
 from collections import deque
 
--- a/agatetack/attempts/race.py
+++ b/agatetack/attempts/race.py
@@ -1,4 +1,4 @@
-"""Run an idempotent request with retries and hedges; first response wins."""
+"""Run an idempotent request with retries and hedges; first answer wins."""
 
 import dataclasses
 import functools
@@ -58,14 +58,14 @@
 """Interval at which the state of removed routes is dropped."""
 
 STALL_RATIO = 3.0
-"""Multiple of a route's late threshold after which a response counts as
+"""Multiple of a route's late threshold after which an answer counts as
 stalled: it may never come."""
 
 MIN_STALL_SECONDS = 0.05
-"""Minimum time after which a response counts as stalled."""
+"""Minimum time after which an answer counts as stalled."""
 
 DEFAULT_STALL_TIME_RATIO = 1 / 3
-"""Share of the remaining time after which a response counts as stalled on a
+"""Share of the remaining time after which an answer counts as stalled on a
 route whose usual latency is not known yet."""
 
 
@@ -75,7 +75,7 @@
     Attributes:
         retries: Budget of retries, by route.
         hedges: Budget of hedges, by route.
-        quantiles: Latency above which responses are late, by route.
+        quantiles: Latency above which answers are late, by route.
         hedger: Timers of the requests in progress; its `run` must run.
     """
 
@@ -114,12 +114,12 @@
         hedged: bool,
         priority: Priority = Priority.NORMAL,
     ) -> Result[Answer, Refusal]:
-        """Return the first response, or why there is none.
+        """Return the first answer, or why there is none.
 
         Args:
             route: The request's route; its requests are idempotent.
             request: What to send.
-            hedged: Whether a late response may start a second attempt.
+            hedged: Whether a late answer may start a second attempt.
             priority: The request's priority among waiting requests.
         """
         self.retries.of(route.id).earn()
@@ -166,7 +166,7 @@
                 state.timer.stop()
             state.over = True
             # Cancelling an attempt closes its connection, which tells the
-            # target that its response is no longer needed.
+            # target that its answer is no longer needed.
             if state.second is not None:
                 state.second.scope.cancel()
 
@@ -349,9 +349,9 @@
         return dataclasses.replace(refusal, retry_at=retry_at)
 
     def _hedge_delay(self, route: Route) -> float | None:
-        """Return the seconds after which a response is late enough to hedge.
+        """Return the seconds after which an answer is late enough to hedge.
 
-        For a route with a target latency it is a share of that: a response at
+        For a route with a target latency it is a share of that: an answer at
         the usual latency may already be too late.
         """
         share = self.limits.hedge_latency_share
--- a/agatetack/attempts/single.py
+++ b/agatetack/attempts/single.py
@@ -44,14 +44,14 @@
 """Statuses that may be caused by a faulty target; 501 and 505 depend on the
 request alone."""
 
-RESPONSE_BYTES_WEIGHT = 0.1
-"""Weight of one response in the moving average of a target's response sizes."""
+ANSWER_BYTES_WEIGHT = 0.1
+"""Weight of one answer in the moving average of a target's answer sizes."""
 
 FAIL_FAST_RATIO = 0.75
-"""A failing response that takes less than this share of the target's usual
+"""A failing answer that takes less than this share of the target's usual
 latency counts as a fault of the target, which did no work for the request.
 
-With 0.5, noise lets some of these responses count as regular ones, which lowers
+With 0.5, noise lets some of these answers count as regular ones, which lowers
 the usual latency until all of them do.
 """
 
@@ -59,11 +59,11 @@
 def fails_fast(status: int, latency: float, target: TargetState) -> bool:
     """Return whether a target failed a request without working on it.
 
-    Of a target without any earlier response each failing response counts.
+    Of a target without any earlier answer each failing answer counts.
 
     Args:
-        status: The response's HTTP status.
-        latency: Seconds from the attempt's start to the response's headers.
+        status: The answer's HTTP status.
+        latency: Seconds from the attempt's start to the answer's headers.
         target: The target that answered.
     """
     if status not in FAILING_STATUSES:
@@ -73,7 +73,7 @@
 
 
 class PermittedBody(Body):
-    """A response's body that releases its permit when it ends.
+    """An answer's body that releases its permit when it ends.
 
     Attributes:
         complete_result: The attempt's result if the body arrives completely.
@@ -174,7 +174,7 @@
     ) -> Result[Answer, AttemptFailure]:
         """Send the request to the permit's target.
 
-        The permit is released here, or by the response's body at its end.
+        The permit is released here, or by the answer's body at its end.
         """
         self.metrics.attempts.inc({"route": plan.route.id})
         if isinstance(plan.request.body, BytesBody):
@@ -211,7 +211,7 @@
         )
         if answer.body.length is not None:
             step = answer.body.length - permit.target.answer_bytes
-            permit.target.answer_bytes += RESPONSE_BYTES_WEIGHT * step
+            permit.target.answer_bytes += ANSWER_BYTES_WEIGHT * step
         answer.body = PermittedBody(answer.body, permit, complete_result)
         failure = await self._buffer_small(plan, answer)
         if failure is not None:
@@ -254,7 +254,7 @@
     def _note_answer(
         self, permit: Permit, answer: Answer, latency: float
     ) -> AttemptResult:
-        """Record a response's latency and return the attempt's result."""
+        """Record an answer's latency and return the attempt's result."""
         self.metrics.target_answered(permit.target.id, latency)
         if fails_fast(answer.status, latency, permit.target):
             # Its latency would rank a target that does no work first.
--- a/agatetack/attempts/state.py
+++ b/agatetack/attempts/state.py
@@ -39,14 +39,14 @@
         started: Attempts started, without those that failed unsent.
         open: Attempts in progress.
         tried: Targets chosen for an attempt, which later ones avoid.
-        answer: The first response, or None.
+        answer: The first answer, or None.
         refusal: Why no permit was granted, or None.
         failure: The last attempt's failure, or None.
         may_have_run: Whether a target may have run any failed attempt.
         second: The second attempt in progress, or None.
         timer: Starts a second attempt; None if none is allowed.
         sequence_scope: Cancels the first attempt and its retries.
-        over: Whether the request has ended, so that responses are discarded.
+        over: Whether the request has ended, so that answers are discarded.
     """
 
     route: Route
--- a/agatetack/attempts/test_race.py
+++ b/agatetack/attempts/test_race.py
@@ -160,7 +160,7 @@
 
 
 async def run_hedged(parts, requests=1):
-    """Run requests whose responses count as late after 20 ms."""
+    """Run requests whose answers count as late after 20 ms."""
     runner = parts.runner()
     for _ in range(200):
         runner._add_latency(ROUTE.id, 0.02)
@@ -222,7 +222,7 @@
     parts = Parts(ScriptedClient([SLOW]), admission=OpenAdmission(permits=1))
     result = await run_hedged(parts)
     assert isinstance(result, Success)
-    # A hedge and, later, the attempt for a stalled response; neither waits.
+    # A hedge and, later, the attempt for a stalled answer; neither waits.
     assert [w.wait for w in parts.admission.wanted] == [True, False, False]
 
 
--- a/agatetack/measure/hashes.py
+++ b/agatetack/measure/hashes.py
@@ -44,9 +44,9 @@
 
 
 def target_hash(process: ProcessId) -> int:
-    """Return the hash of a target's process incarnation: a signed xxhash32.
+    """Return the hash of one instance of a target: a signed xxhash32.
 
-    Reports of an earlier incarnation match no target of the receiver.
+    Reports of an earlier instance match no target of the receiver.
     """
     unsigned = xxhash.xxh32_intdigest(process.encode())
     return unsigned - 2**32 if unsigned >= 2**31 else unsigned
--- a/agatetack/measure/http_probe.py
+++ b/agatetack/measure/http_probe.py
@@ -28,7 +28,7 @@
 
 
 class Malformed(Exception):
-    """A load endpoint's response contains no usable report."""
+    """A load endpoint's answer contains no usable report."""
 
 
 @dataclasses.dataclass(slots=True)
@@ -36,11 +36,11 @@
     """Collects a load report; the methods are called by httptools.
 
     Attributes:
-        headers: The response's header fields, names in lower case.
+        headers: The answer's header fields, names in lower case.
         fields: The same in their order, with repeated fields.
-        body: The response's body.
+        body: The answer's body.
         head_complete: Whether all header fields have arrived.
-        complete: Whether the response has ended.
+        complete: Whether the answer has ended.
     """
 
     headers: dict[str, str] = dataclasses.field(default_factory=dict)
@@ -63,7 +63,7 @@
         self.body += data
 
     def on_message_complete(self) -> None:
-        """Record the response's end."""
+        """Record the answer's end."""
         self.complete = True
 
 
@@ -85,7 +85,7 @@
                 the settings name.
             load_paths: Load paths of services that have their own, by service.
                 If None, the path of the settings is used for all.
-            pushbacks: Records pushback in responses, also in those without a
+            pushbacks: Records pushback in answers, also in those without a
                 report; if None, it is ignored.
         """
         self.pushbacks = pushbacks
--- a/agatetack/measure/probe.py
+++ b/agatetack/measure/probe.py
@@ -23,7 +23,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ProbeAnswer:
-    """The response of a load endpoint.
+    """The answer of a load endpoint.
 
     Attributes:
         in_flight: Requests running or waiting at the target.
@@ -33,7 +33,7 @@
         slowness: Factor by which its work takes longer than usual now.
         instance: The instance that answered; None if not reported.
         warm_up_seconds: Remaining warm-up time; None if it can't be read.
-        headers: The headers of its response, names in lower case.
+        headers: The headers of its answer, names in lower case.
     """
 
     in_flight: int
--- a/agatetack/measure/rounds.py
+++ b/agatetack/measure/rounds.py
@@ -190,7 +190,7 @@
 def _reported_at(target: TargetState) -> float:
     """Return when the target last reported what a probe would show.
 
-    A target that gets requests reports its load in responses and to pre-send
+    A target that gets requests reports its load in answers and to pre-send
     probes, and the hosts that receive a report send it to the target's owner.
     Whether a target is warm is only known from probes of either kind.
     """
--- a/agatetack/measure/samples.py
+++ b/agatetack/measure/samples.py
@@ -169,7 +169,7 @@
         """Return the waiting samples for a message that is sent anyway.
 
         The end of a request changes this host's count at the target, and its
-        response reports the target's load; sent together they cost each peer
+        answer reports the target's load; sent together they cost each peer
         one message to read instead of two.
         """
         latest = list(self.fresh.values())[-MAX_SAMPLES:]
--- a/agatetack/measure/test_http_probe.py
+++ b/agatetack/measure/test_http_probe.py
@@ -1,4 +1,4 @@
-"""Test how the responses of a load endpoint are interpreted."""
+"""Test how the answers of a load endpoint are interpreted."""
 
 import functools
 
--- a/agatetack/measure/test_prober.py
+++ b/agatetack/measure/test_prober.py
@@ -28,7 +28,7 @@
 
 
 class FakeProbe(ProbeClient):
-    """Gives the same response to each probe and records the targets."""
+    """Gives the same answer to each probe and records the targets."""
 
     def __init__(self):
         self.result = Success(ProbeAnswer(3, 2, ReportedState.READY, 200))
@@ -157,7 +157,7 @@
             3,
         ),
         (Failure(ProbeFailure.REFUSED), TargetStatus.LEAVING, None),
-        # A load endpoint without a usable response changes no status.
+        # A load endpoint without a usable answer changes no status.
         (Failure(ProbeFailure.TIMEOUT), TargetStatus.COLD, None),
         (Failure(ProbeFailure.MALFORMED), TargetStatus.COLD, None),
     ],
--- a/agatetack/measure/update_filter.py
+++ b/agatetack/measure/update_filter.py
@@ -44,7 +44,7 @@
     """Tracks which report of each target was last sent to a set of hosts.
 
     Attributes:
-        sent: The reports sent last, by process incarnation of the target.
+        sent: The reports sent last, by instance of a target.
     """
 
     def __init__(
