--- a/agatetack/measure/budget.py
+++ b/agatetack/measure/budget.py
@@ -11,7 +11,7 @@
 BURST_SECONDS = 0.1
 """Longest pause whose unused tokens are saved, so that pauses do not add up."""
 
-START_SECONDS = 4.0
+START_DELAY_SECONDS = 4.0
 """Time after a start in which a bucket gets no tokens.
 
 Until the other hosts know of a new host, their shares are too large; this is
@@ -36,21 +36,21 @@
         self,
         fleet_rate: float,
         fleet_size: Callable[[], float],
-        smallest_burst: float = 1.0,
-        start_seconds: float = START_SECONDS,
+        min_burst: float = 1.0,
+        start_seconds: float = START_DELAY_SECONDS,
     ):
         """Start empty.
 
         Args:
             fleet_rate: Units per second of the whole fleet.
             fleet_size: Returns the number of hosts, never too low.
-            smallest_burst: Minimum capacity of the bucket in units, so that
+            min_burst: Minimum capacity of the bucket in units, so that
                 the largest single spend is possible at all.
             start_seconds: Time after a start in which it gets no tokens.
         """
         self.fleet_rate = fleet_rate
         self.fleet_size = fleet_size
-        self.smallest_burst = smallest_burst
+        self.min_burst = min_burst
         self.tokens = 0.0
         self.spent = 0.0
         self.filled_at = trio.current_time() + start_seconds
@@ -68,8 +68,8 @@
         elapsed = now - self.filled_at
         self.filled_at = now
         rate = self.rate
-        most = max(self.smallest_burst, rate * BURST_SECONDS)
-        self.tokens = min(most, self.tokens + elapsed * rate)
+        capacity = max(self.min_burst, rate * BURST_SECONDS)
+        self.tokens = min(capacity, self.tokens + elapsed * rate)
 
     def take(self, amount: float = 1.0) -> bool:
         """Spend `amount`, or nothing and return False if there is less."""
@@ -91,5 +91,5 @@
         rate = self.rate
         if rate <= 0:
             return float("inf")
-        earning = max(trio.current_time(), self.filled_at)
-        return earning + max(0.0, amount - self.tokens) / rate
+        filling_from = max(trio.current_time(), self.filled_at)
+        return filling_from + max(0.0, amount - self.tokens) / rate
--- a/agatetack/measure/http_probe.py
+++ b/agatetack/measure/http_probe.py
@@ -23,7 +23,7 @@
 from agatetack.targets.pushbacks import Pushbacks
 from agatetack.targets.state import ReportSource, TargetState
 
-MAX_IDLE = 64
+MAX_IDLE_CONNECTIONS = 64
 """Maximum number of idle connections kept for later probes."""
 
 
@@ -95,7 +95,7 @@
         self.instance_name = settings.targets.headers.answering_instance
         self.idle: dict[ProcessId, PlainStream] = {}
 
-    def can_ask(self, target: TargetState) -> bool:
+    def can_probe(self, target: TargetState) -> bool:
         """Return whether the target's load path is known.
 
         A host may know the targets before the document with the paths, and a
@@ -126,7 +126,7 @@
         except (Malformed, httptools.HttpParserError):
             return Failure(ProbeFailure.MALFORMED)
         else:
-            self._keep(target.process, stream)
+            self._keep_idle(target.process, stream)
             stream = None
             return Success(answer)
         finally:
@@ -174,8 +174,8 @@
                 target, status, report.fields, ReportSource.PROBE
             )
 
-    def _keep(self, process: ProcessId, stream: PlainStream) -> None:
-        if process in self.idle or len(self.idle) >= MAX_IDLE:
+    def _keep_idle(self, process: ProcessId, stream: PlainStream) -> None:
+        if process in self.idle or len(self.idle) >= MAX_IDLE_CONNECTIONS:
             stream.close()
         else:
             self.idle[process] = stream
--- a/agatetack/measure/probe.py
+++ b/agatetack/measure/probe.py
@@ -49,7 +49,7 @@
 class ProbeClient(abc.ABC):
     """Probes the load endpoints of targets."""
 
-    def can_ask(self, target: TargetState) -> bool:
+    def can_probe(self, target: TargetState) -> bool:
         """Return whether it is known how to probe `target`."""
         return True
 
--- a/agatetack/measure/prober.py
+++ b/agatetack/measure/prober.py
@@ -7,7 +7,7 @@
 
 from agatetack.balance.target_share import NoShare, TargetShare
 from agatetack.ids import Deadline, ServiceId
-from agatetack.measure.budget import START_SECONDS, TokenBucket
+from agatetack.measure.budget import START_DELAY_SECONDS, TokenBucket
 from agatetack.measure.probe import ProbeAnswer, ProbeClient, ProbeFailure
 from agatetack.measure.samples import SampleExchange
 from agatetack.metrics import Metrics
@@ -21,13 +21,13 @@
 PROBE_BYTES = 1024
 """Maximum number of bytes that one probe may send and receive together."""
 
-SHARING_SHARE = 0.5
+SAMPLES_BYTES_RATIO = 0.5
 """Share of the byte budget that goes to samples sent to peers."""
 
-SAMPLE_BURST_BYTES = 4096
+MIN_SAMPLE_BURST_BYTES = 4096
 """Minimum capacity of the bucket of bytes for samples."""
 
-UPDATES_START_SECONDS = 0.2
+UPDATES_START_DELAY_SECONDS = 0.2
 """Time after a start in which no updates on targets are sent.
 
 Where each target is probed by one host, the others depend on its updates: with
@@ -39,13 +39,13 @@
 MAX_BUDGET_POLL_SECONDS = 0.05
 """Maximum time between two checks of a budget that is spent."""
 
-LEAVING_PROBE_SECONDS = 1.0
+LEAVING_PROBE_INTERVAL_SECONDS = 1.0
 """Minimum time between two probes of leaving targets, which may return."""
 
 DRAWN_TARGETS = 3
 """Targets drawn for a probe; the one with the oldest report is probed."""
 
-RECENT_SERVICES = 64
+MAX_CHOSEN_SERVICES = 64
 """Maximum number of remembered services with choices since their last probe."""
 
 
@@ -89,7 +89,7 @@
         budget = settings.measure
         size = exchange.fleet_size
         self.probes = TokenBucket(budget.probes_per_second, size)
-        share = budget.bytes_per_second * SHARING_SHARE
+        share = budget.bytes_per_second * SAMPLES_BYTES_RATIO
         self.probe_bytes = TokenBucket(
             budget.bytes_per_second - share, size, PROBE_BYTES
         )
@@ -97,8 +97,10 @@
         sample_bytes = TokenBucket(
             share,
             size,
-            SAMPLE_BURST_BYTES,
-            UPDATES_START_SECONDS if updates_only else START_SECONDS,
+            MIN_SAMPLE_BURST_BYTES,
+            UPDATES_START_DELAY_SECONDS
+            if updates_only
+            else START_DELAY_SECONDS,
         )
         self.sharing = SampleExchange(
             registry,
@@ -108,14 +110,14 @@
             updates_only,
         )
         self.chosen: dict[ServiceId, None] = {}
-        self.waiting = trio.Event()
+        self.chosen_added = trio.Event()
         self.leaving_probe_at = 0.0
         self.failed = metrics.counter(
             "agatetack_probe_failures_total", "Probes without a report."
         )
         for failure in ProbeFailure:
             self.failed.add({"reason": failure.value}, 0)
-        registry.choice_watchers.append(self._note_choice)
+        registry.choice_watchers.append(self._on_choice)
 
     async def run(
         self, task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED
@@ -131,8 +133,8 @@
     async def _probe_chosen(self, nursery: trio.Nursery) -> None:
         while True:
             if not self.chosen:
-                await self.waiting.wait()
-                self.waiting = trio.Event()
+                await self.chosen_added.wait()
+                self.chosen_added = trio.Event()
                 continue
             if not self._take():
                 self.metrics.budget_refused.inc({})
@@ -146,15 +148,18 @@
 
     async def _probe_leaving(self) -> None:
         while True:
-            await trio.sleep(LEAVING_PROBE_SECONDS)
+            await trio.sleep(LEAVING_PROBE_INTERVAL_SECONDS)
             leaving = list(self.registry.leaving_targets())
             if leaving and self._take():
                 await self.probe(self.rng.choice(leaving))
 
-    def _note_choice(self, service: ServiceId) -> None:
-        if service not in self.chosen and len(self.chosen) < RECENT_SERVICES:
+    def _on_choice(self, service: ServiceId) -> None:
+        if (
+            service not in self.chosen
+            and len(self.chosen) < MAX_CHOSEN_SERVICES
+        ):
             self.chosen[service] = None
-            self.waiting.set()
+            self.chosen_added.set()
 
     def _take(self) -> bool:
         if not self.probes.take():
@@ -190,7 +195,7 @@
 
     async def probe(self, target: TargetState) -> None:
         """Probe one target's load, if allowed, and record the result."""
-        if not self.client.can_ask(target):
+        if not self.client.can_probe(target):
             return
         if not self.share.may_probe(target):
             return
@@ -199,14 +204,14 @@
         timeout = self.settings.measure.probe_timeout_seconds
         deadline = Deadline(trio.current_time() + timeout)
         result = await self.client.probe(target, deadline, PROBE_BYTES)
-        self._note(target, result)
+        self._record(target, result)
 
-    def _note(
+    def _record(
         self, target: TargetState, result: Result[ProbeAnswer, ProbeFailure]
     ) -> None:
         self.metrics.budget_spent.add({"unit": "probes"}, 1)
         if not isinstance(result, Success):
-            self._note_failure(target, result.failure())
+            self._record_failure(target, result.failure())
             return
         answer = result.unwrap()
         if answer.instance not in (None, target.id):
@@ -227,7 +232,9 @@
         self.registry.note_asked(target, load, ReportSource.PROBE)
         self.registry.note_probe(target, answer.state)
 
-    def _note_failure(self, target: TargetState, failure: ProbeFailure) -> None:
+    def _record_failure(
+        self, target: TargetState, failure: ProbeFailure
+    ) -> None:
         self.failed.inc({"reason": failure.value})
         self.metrics.budget_spent.add({"unit": "bytes"}, PROBE_BYTES)
         if failure is ProbeFailure.REFUSED:
--- a/agatetack/measure/test_budget.py
+++ b/agatetack/measure/test_budget.py
@@ -5,7 +5,7 @@
 import pytest
 import trio
 
-from agatetack.measure.budget import START_SECONDS, TokenBucket
+from agatetack.measure.budget import START_DELAY_SECONDS, TokenBucket
 
 RATE = 50.0
 SECONDS = 14.0
@@ -40,7 +40,7 @@
     "many hosts": Case(hosts=40),
     "burst after idling": Case(idle_seconds=10.0),
     "restart storm": Case(restart_seconds=0.7),
-    "slow restart storm": Case(restart_seconds=START_SECONDS + 0.1),
+    "slow restart storm": Case(restart_seconds=START_DELAY_SECONDS + 0.1),
     "pause, as if the clock jumped": Case(pause_seconds=8.0),
     "hosts doubled": Case(doubled_at=5.0),
     "hosts doubled, list lagging": Case(doubled_at=5.0, lag_seconds=3.0),
@@ -135,8 +135,8 @@
 
 
 async def test_amount_larger_than_held_is_not_partly_taken(autojump_clock):
-    bucket = TokenBucket(10.0, lambda: 1, smallest_burst=5.0)
-    await trio.sleep(START_SECONDS + 0.3)
+    bucket = TokenBucket(10.0, lambda: 1, min_burst=5.0)
+    await trio.sleep(START_DELAY_SECONDS + 0.3)
     held = bucket.tokens
     assert not bucket.take(4.0)
     await trio.sleep(0.2)
--- a/agatetack/measure/test_http_probe.py
+++ b/agatetack/measure/test_http_probe.py
@@ -130,4 +130,4 @@
 def test_a_target_is_asked_where_its_path_is_known(load_paths, asks):
     probe = HttpProbe(default_settings(), load_paths=load_paths)
     target = TargetState("t", "s", "127.0.0.1", 80, "d")
-    assert probe.can_ask(target) is asks
+    assert probe.can_probe(target) is asks
--- a/agatetack/measure/test_prober.py
+++ b/agatetack/measure/test_prober.py
@@ -9,7 +9,7 @@
 
 from agatetack.generated.measure.ttypes import TargetSign
 from agatetack.ids import Deadline, HostId
-from agatetack.measure.budget import START_SECONDS
+from agatetack.measure.budget import START_DELAY_SECONDS
 from agatetack.measure.hashes import target_hash
 from agatetack.measure.probe import ProbeAnswer, ProbeClient, ProbeFailure
 from agatetack.measure.prober import Prober
@@ -120,19 +120,19 @@
     autojump_clock, targets, measure, least, most
 ):
     host = Host(NoExchange(), targets, **measure)
-    await run_for(START_SECONDS + 5, host)
+    await run_for(START_DELAY_SECONDS + 5, host)
     assert least <= len(host.probe.probed) <= most
 
 
 async def test_no_choice_no_probe(autojump_clock):
     host = Host(NoExchange())
-    await run_for(START_SECONDS + 5, host, every=100)
+    await run_for(START_DELAY_SECONDS + 5, host, every=100)
     assert len(host.probe.probed) <= 1
 
 
 async def test_least_known_target_is_probed(autojump_clock):
     host = Host(NoExchange())
-    await run_for(START_SECONDS + 0.05, host)
+    await run_for(START_DELAY_SECONDS + 0.05, host)
     for target in host.targets:
         if target is not host.targets[1]:
             host.report(target, 1)
@@ -165,7 +165,7 @@
 async def test_what_a_probe_shows(autojump_clock, result, status, in_flight):
     host = Host(NoExchange())
     host.probe.result = result
-    await run_for(START_SECONDS + 3, host)
+    await run_for(START_DELAY_SECONDS + 3, host)
     target = host.registry.by_id[host.probe.probed[0]]
     assert target.status is status
     seen = None if target.report is None else target.report.in_flight
@@ -188,10 +188,10 @@
 
 async def test_peers_take_samples(autojump_clock):
     sender, taker = joined()
-    with trio.move_on_after(START_SECONDS + 3):
+    with trio.move_on_after(START_DELAY_SECONDS + 3):
         async with trio.open_nursery() as nursery:
             nursery.start_soon(sender.prober.run)
-            await trio.sleep(START_SECONDS + 1)
+            await trio.sleep(START_DELAY_SECONDS + 1)
             sender.report(sender.targets[0], 7)
             sender.targets[0].learned.service_seconds = 0.02
     report = taker.targets[0].report
@@ -222,7 +222,7 @@
 
 async def test_samples_keep_to_the_budget(autojump_clock):
     sender, _ = joined()
-    with trio.move_on_after(START_SECONDS + 10):
+    with trio.move_on_after(START_DELAY_SECONDS + 10):
         async with trio.open_nursery() as nursery:
             nursery.start_soon(sender.prober.run)
             while True:
@@ -312,7 +312,7 @@
     target, told = first.targets[0], second.targets[0]
     async with trio.open_nursery() as nursery:
         await nursery.start(first.prober.run)
-        await trio.sleep(START_SECONDS + 1)
+        await trio.sleep(START_DELAY_SECONDS + 1)
         await first.prober.probe(target)
         await trio.sleep(0.1)
         nursery.cancel_scope.cancel()
