--- a/agatetack/attempts/budget.py
+++ b/agatetack/attempts/budget.py
@@ -51,7 +51,7 @@
             self.by_route[route] = budget
         return budget
 
-    def keep_only(self, routes: set[RouteId]) -> None:
+    def retain(self, routes: set[RouteId]) -> None:
         """Drop the budgets of all other routes."""
         for route in self.by_route.keys() - routes:
             del self.by_route[route]
--- a/agatetack/attempts/fleet_budget.py
+++ b/agatetack/attempts/fleet_budget.py
@@ -9,11 +9,11 @@
 from agatetack.metrics import Metrics
 from agatetack.settings.model import Settings
 
-RATIO_SHARE = 0.8
+USED_RATIO_SHARE = 0.8
 """Share of the configured ratio that is used. The rest is a margin, as the
 windows of requests and of repeats do not end at the same time."""
 
-SLACK_SHARE = 0.5
+USED_SLACK_SHARE = 0.5
 """Share of the configured slack that is used. A killed host loses the record
 of what it spent, and gets its part of the slack a second time within one
 window."""
@@ -27,7 +27,7 @@
         self.requests: deque[float] = deque()
         self.repeats: deque[float] = deque()
 
-    def forget(self, before: float) -> None:
+    def drop_before(self, before: float) -> None:
         """Drop the times before `before`, the start of the window."""
         for times in (self.requests, self.repeats):
             while times and times[0] < before:
@@ -71,12 +71,12 @@
     def set_limits(self, settings: Settings) -> None:
         """Use the limits in `settings.attempts` from now on."""
         limits = settings.attempts
-        self.ratio = limits.fleet_ratio * RATIO_SHARE
-        self.slack = limits.fleet_slack * SLACK_SHARE
+        self.ratio = limits.fleet_ratio * USED_RATIO_SHARE
+        self.slack = limits.fleet_slack * USED_SLACK_SHARE
         self.seconds = limits.fleet_window_seconds
         self.bounded = limits.fleet_ratio > 0
 
-    def request(self, service: ServiceId) -> None:
+    def record_request(self, service: ServiceId) -> None:
         """Record a request for `service`."""
         if self.bounded:
             self._window(service).requests.append(trio.current_time())
@@ -108,5 +108,5 @@
         window = self.windows.get(service)
         if window is None:
             window = self.windows[service] = ServiceWindow()
-        window.forget(trio.current_time() - self.seconds)
+        window.drop_before(trio.current_time() - self.seconds)
         return window
--- a/agatetack/attempts/once.py
+++ b/agatetack/attempts/once.py
@@ -54,7 +54,7 @@
         admission: AdmissionController,
         single: SingleAttempt,
         metrics: Metrics,
-        fleet: FleetBudget | None = None,
+        fleet_budget: FleetBudget | None = None,
     ):
         """Take a claim from `claims` before a request is sent.
 
@@ -64,9 +64,11 @@
             admission: Grants permits to send to a target.
             single: Makes attempts.
             metrics: Where retries are counted.
-            fleet: The fleet's budget of repeats; a separate one if None.
+            fleet_budget: The fleet's budget of repeats; a separate one if None.
         """
-        self.fleet = fleet or FleetBudget(settings, lambda: None, metrics)
+        self.fleet_budget = fleet_budget or FleetBudget(
+            settings, lambda: None, metrics
+        )
         self.limits = settings.attempts
         self.claims = claims
         self.admission = admission
@@ -80,7 +82,7 @@
         claimed = await self.claims.claim(route, request, new_attempt_id())
         if isinstance(claimed, Failure):
             return claimed
-        self.fleet.request(route.service)
+        self.fleet_budget.record_request(route.service)
         state = OnceState(claimed.unwrap())
         try:
             return await self._run_claimed(route, request, state)
@@ -148,7 +150,9 @@
             and state.sent < limit
             and trio.current_time() < request.deadline
             and request.replayable
-            and (not state.failure.sent or self.fleet.spend(route.service))
+            and (
+                not state.failure.sent or self.fleet_budget.spend(route.service)
+            )
         )
 
     async def _give_up(
--- a/agatetack/attempts/race.py
+++ b/agatetack/attempts/race.py
@@ -85,7 +85,7 @@
         admission: AdmissionController,
         single: SingleAttempt,
         metrics: Metrics,
-        fleet: FleetBudget | None = None,
+        fleet_budget: FleetBudget | None = None,
     ):
         """Send attempts through `single` as `admission` permits.
 
@@ -94,9 +94,11 @@
             admission: Grants permits to send to a target.
             single: Makes attempts.
             metrics: Where retries are counted.
-            fleet: The fleet's budget of repeats; a separate one if None.
+            fleet_budget: The fleet's budget of repeats; a separate one if None.
         """
-        self.fleet = fleet or FleetBudget(settings, lambda: None, metrics)
+        self.fleet_budget = fleet_budget or FleetBudget(
+            settings, lambda: None, metrics
+        )
         limits = settings.attempts
         self.limits = limits
         self.admission = admission
@@ -124,7 +126,7 @@
         """
         self.retries.of(route.id).earn()
         self.hedges.of(route.id).earn()
-        self.fleet.request(route.service)
+        self.fleet_budget.record_request(route.service)
         state = RaceState(route, request, priority)
         permit = await self._permit(state, wait=True)
         if permit is None:
@@ -148,8 +150,8 @@
             if routes.table is None:
                 continue
             present = set(routes.table.routes)
-            self.retries.keep_only(present)
-            self.hedges.keep_only(present)
+            self.retries.retain(present)
+            self.hedges.retain(present)
             for route in self.quantiles.keys() - present:
                 del self.quantiles[route]
 
@@ -206,7 +208,9 @@
 
     async def _hedge(self, state: RaceState) -> None:
         """Send a hedge if the first attempt is still in progress."""
-        spare = self.fleet.left(state.route.service) >= MIN_LEFT_FOR_HEDGE
+        spare = (
+            self.fleet_budget.left(state.route.service) >= MIN_LEFT_FOR_HEDGE
+        )
         if state.needs_second() and spare and self._spend(state, self.hedges):
             await self._second_attempt(state, RetryReason.HEDGE)
         if state.needs_second():
@@ -233,7 +237,7 @@
         budget = budgets.of(state.route.id)
         if not budget.spend():
             return False
-        if self.fleet.spend(state.route.service):
+        if self.fleet_budget.spend(state.route.service):
             return True
         budget.give_back()
         return False
--- a/agatetack/attempts/test_fleet_budget.py
+++ b/agatetack/attempts/test_fleet_budget.py
@@ -4,8 +4,8 @@
 import trio
 
 from agatetack.attempts.fleet_budget import (
-    RATIO_SHARE,
-    SLACK_SHARE,
+    USED_RATIO_SHARE,
+    USED_SLACK_SHARE,
     FleetBudget,
 )
 from agatetack.ids import ServiceId
@@ -50,10 +50,10 @@
 ):
     budget = make_budget(size)
     for _ in range(requests):
-        budget.request(A)
-    most = RATIO * RATIO_SHARE * requests
-    most += SLACK * SLACK_SHARE / size if size else 0
-    assert spend_all(budget) == int(most + 1e-9) == allowed
+        budget.record_request(A)
+    expected = RATIO * USED_RATIO_SHARE * requests
+    expected += SLACK * USED_SLACK_SHARE / size if size else 0
+    assert spend_all(budget) == int(expected + 1e-9) == allowed
     assert spend_all(budget, B) == spend_all(make_budget(size), B)
 
 
@@ -61,7 +61,7 @@
     budget = make_budget()
     spent_at = []
     for _ in range(400):
-        budget.request(A)
+        budget.record_request(A)
         while budget.spend(A):
             spent_at.append(trio.current_time())
         await trio.sleep(0.1)
@@ -81,6 +81,6 @@
     budgets = [make_budget(14) for _ in range(14)]
     spent = 0
     for number in range(700):
-        budgets[number % 14].request(A)
+        budgets[number % 14].record_request(A)
         spent += spend_all(budgets[number % 14])
     assert spent <= RATIO * 700 + SLACK
