--- a/agatetack/attempts/once.py
+++ b/agatetack/attempts/once.py
@@ -107,12 +107,12 @@
                 state.claim.attempt,
                 retry_reason(state.failure),
             )
-            held = permit.unwrap()
-            state.tried.add(held.target.id)
+            granted = permit.unwrap()
+            state.tried.add(granted.target.id)
             # From here on a disconnect of the caller must not cancel the
             # attempt: it would be unknown whether the target ran the request.
             with trio.CancelScope(shield=True):
-                result = await self.single.run(plan, held)
+                result = await self.single.run(plan, granted)
                 if isinstance(result, Success):
                     status = result.unwrap().status
                     await self.claims.finish(state.claim, status)
--- a/agatetack/attempts/test_probing_admission.py
+++ b/agatetack/attempts/test_probing_admission.py
@@ -90,10 +90,10 @@
             zip((target.id for target in targets), reports, strict=True)
         )
         self.calls = 0
-        self.most = 100
+        self.limit = 100
 
     def take(self, target):
-        return self.calls < self.most
+        return self.calls < self.limit
 
     async def ask(self, target, deadline):
         self.calls += 1
@@ -190,7 +190,7 @@
 
 async def test_without_a_look_left_the_choice_stands(autojump_clock):
     _, inner, probing, probe = make([SLOW, GOOD])
-    probe.most = 0
+    probe.limit = 0
     permit = (await probing.acquire(make_wanted())).unwrap()
     assert permit is inner.granted[0]
     assert probe.calls == 0
--- a/agatetack/attempts/test_race.py
+++ b/agatetack/attempts/test_race.py
@@ -87,7 +87,7 @@
 async def test_no_retry_spends_a_third_target_on_a_crashing_request(
     autojump_clock,
 ):
-    parts = Parts(ScriptedClient([LOST] * 9), crashes=Crashes(most=2))
+    parts = Parts(ScriptedClient([LOST] * 9), crashes=Crashes(limit=2))
     result = await parts.runner().run(ROUTE, make_request(), hedged=True)
     assert len(parts.client.attempts) == 2
     assert result.failure().outcome is Outcome.UNKNOWN
@@ -229,7 +229,7 @@
 async def test_no_hedge_spends_a_third_target_on_a_crashing_request(
     autojump_clock,
 ):
-    crashes = Crashes(most=0)
+    crashes = Crashes(limit=0)
     parts = Parts(ScriptedClient([SLOW]), crashes=crashes)
     await run_hedged(parts)
     assert len(parts.client.attempts) == 1
@@ -260,8 +260,8 @@
 async def test_routes_that_are_no_more_are_forgotten(autojump_clock):
     parts = Parts(ScriptedClient([]))
     runner = parts.runner()
-    gone = dataclasses.replace(ROUTE, id=RouteId("gone"))
-    for route in (ROUTE, gone):
+    removed = dataclasses.replace(ROUTE, id=RouteId("gone"))
+    for route in (ROUTE, removed):
         await runner.run(route, make_request(), hedged=True)
     source = RouteSource()
     async with trio.open_nursery() as nursery:
--- a/agatetack/attempts/test_support.py
+++ b/agatetack/attempts/test_support.py
@@ -160,12 +160,12 @@
 class Crashes(CrashTracker):
     """Records lost connections and refuses after a number of them."""
 
-    def __init__(self, most=100):
-        self.most = most
+    def __init__(self, limit=100):
+        self.limit = limit
         self.lost = []
 
     def check(self, route, request):
-        if len(self.lost) < self.most:
+        if len(self.lost) < self.limit:
             return None
         return refuse(RefusalReason.QUARANTINED, "held")
 
--- a/agatetack/measure/samples.py
+++ b/agatetack/measure/samples.py
@@ -137,7 +137,7 @@
             updates = [
                 target
                 for target in self.far_pending.values()
-                if self.far_filter.take(target, target.report)
+                if self.far_filter.accept(target, target.report)
             ]
             self.far_pending.clear()
             for first in range(0, len(updates), MAX_SAMPLES):
@@ -274,7 +274,7 @@
             self.far_pending_added.set()
         if report.source is ReportSource.PEER:
             return
-        if not self.updates_only or self.near_filter.take(target, report):
+        if not self.updates_only or self.near_filter.accept(target, report):
             # Move it to the end, so that the latest remain if not all fit.
             self.fresh.pop(target.process, None)
             self.fresh[target.process] = target
--- a/agatetack/measure/test_budget.py
+++ b/agatetack/measure/test_budget.py
@@ -107,12 +107,12 @@
     # In every window, not only over the whole run, at most what the hosts'
     # buckets have saved may be spent on top of the rate.
     for width in (0.5, 2.0, 8.0):
-        most = RATE * width + hosts
+        limit = RATE * width + hosts
         start = 0
         for end, at in enumerate(spends):
             while spends[start] < at - width:
                 start += 1
-            assert end - start + 1 <= most
+            assert end - start + 1 <= limit
     # From the start, nothing may be spent on top of the rate.
     for count, at in enumerate(spends, 1):
         assert count <= RATE * at
--- a/agatetack/measure/test_prober.py
+++ b/agatetack/measure/test_prober.py
@@ -243,8 +243,8 @@
     sender.report(sender.targets[0], 7)
     sender.targets[0].learned.service_seconds = 0.01 * ratio
     sender.registry.note_changed(sender.targets[0])
-    told = taker.targets[0].learned.peer_service_seconds
-    assert told == pytest.approx(0.01 * ratio)
+    received = taker.targets[0].learned.peer_service_seconds
+    assert received == pytest.approx(0.01 * ratio)
 
 
 async def test_adopted_service_time_is_not_sent_on(autojump_clock):
@@ -309,7 +309,7 @@
     state = ReportedState.READY
     answer = ProbeAnswer(3, 2, state, 200, warm_up_seconds=left)
     first.probe.result = Success(answer)
-    target, told = first.targets[0], second.targets[0]
+    target, received = first.targets[0], second.targets[0]
     async with trio.open_nursery() as nursery:
         await nursery.start(first.prober.run)
         await trio.sleep(START_DELAY_SECONDS + 1)
@@ -317,7 +317,7 @@
         await trio.sleep(0.1)
         nursery.cancel_scope.cancel()
     now = Deadline(trio.current_time())
-    assert told.warmth.is_cold(now) is target.warmth.is_cold(now) is cold
-    assert told.warmth.warm_at == pytest.approx(
+    assert received.warmth.is_cold(now) is target.warmth.is_cold(now) is cold
+    assert received.warmth.warm_at == pytest.approx(
         target.warmth.warm_at, abs=0.002
     )
--- a/agatetack/measure/test_rounds.py
+++ b/agatetack/measure/test_rounds.py
@@ -270,7 +270,7 @@
     if cold:
         target.warmth.doubt(Deadline(trio.current_time()))
 
-    async def hear():
+    async def report_load():
         while heard_every is not None:
             now = Deadline(trio.current_time())
             rounds.registry.note_report(
@@ -279,7 +279,7 @@
             await trio.sleep(heard_every)
 
     async with trio.open_nursery() as nursery:
-        nursery.start_soon(hear)
+        nursery.start_soon(report_load)
         await run_for(rounds, 10)
         nursery.cancel_scope.cancel()
     assert least <= len(prober.probes) <= most
--- a/agatetack/measure/test_update_filter.py
+++ b/agatetack/measure/test_update_filter.py
@@ -47,9 +47,9 @@
     registry.update([listed_target(1)])
     target = registry.targets(SERVICE)[0]
     updates = UpdateFilter(registry, load)
-    assert updates.take(target, report(*first))
+    assert updates.accept(target, report(*first))
     await trio.sleep(pause)
-    assert updates.take(target, report(*second)) is news
+    assert updates.accept(target, report(*second)) is news
 
 
 @pytest.mark.parametrize(
@@ -66,6 +66,6 @@
     for left in (first, second):
         now = Deadline(trio.current_time())
         target.warmth.note(Deadline(now + left), now)
-        taken = updates.take(target, report(0, 0, 0, 1.0))
+        taken = updates.accept(target, report(0, 0, 0, 1.0))
         await trio.sleep(0.1)
     assert taken is news
--- a/agatetack/measure/update_filter.py
+++ b/agatetack/measure/update_filter.py
@@ -61,7 +61,7 @@
         self.load = load
         self.sent: dict[ProcessId, SentReport] = {}
 
-    def take(self, target: TargetState, report: LoadReport) -> bool:
+    def accept(self, target: TargetState, report: LoadReport) -> bool:
         """Return whether to send `report`; if so it counts as sent."""
         load = self.load(report)
         now = Deadline(trio.current_time())
