--- a/agatetack/attempts/once.py
+++ b/agatetack/attempts/once.py
@@ -1,4 +1,4 @@
-"""Run a never-repeated request at most once, under one claim."""
+"""Run an at-most-once request under one claim."""
 
 import dataclasses
 
@@ -25,7 +25,7 @@
 
 @dataclasses.dataclass(slots=True)
 class OnceState:
-    """Progress of one never-repeated request.
+    """Progress of one at-most-once request.
 
     Attributes:
         claim: The claim under which the request is sent.
@@ -41,7 +41,7 @@
 
 
 class OnceRunner:
-    """Runs never-repeated requests.
+    """Runs at-most-once requests.
 
     A request is never hedged. It is sent to another target only if the one
     before certainly did not run it.
--- a/agatetack/attempts/test_once.py
+++ b/agatetack/attempts/test_once.py
@@ -1,4 +1,4 @@
-"""Check that a never-repeated request is run at most once."""
+"""Check that an at-most-once request is run at most once."""
 
 import pytest
 import trio
