--- a/agatetack/claims/__init__.py
+++ b/agatetack/claims/__init__.py
@@ -1,1 +1,1 @@
-"""Run never-repeated requests at most once, by the order of the log."""
+"""Run requests of class ONCE at most once, as decided by the log's order."""
--- a/agatetack/claims/appender.py
+++ b/agatetack/claims/appender.py
@@ -27,30 +27,30 @@
 from agatetack.settings.model import Settings
 
 MAX_APPENDS_IN_FLIGHT = 8
-"""Appends of one stream that wait for their reply at the same time."""
+"""Most appends of one stream that await replies at the same time."""
 
 RETRY_SECONDS = 0.1
-"""Pause before the log is tried again after it failed."""
+"""Pause before the log is tried again after a failure."""
 
 LAZY_KINDS = frozenset((EntryKind.DONE, EntryKind.KEEP))
-"""Entries that nobody's answer depends on."""
+"""Entries that no response to a caller depends on."""
 
 LAZY_SECONDS = 0.05
-"""Longest time that such entries wait for others to ride with."""
+"""Longest time that such entries wait to be batched with others."""
 
 
 @dataclasses.dataclass(slots=True)
 class Pending:
-    """An entry that somebody waits to see in the log.
+    """An entry that waits for its verdict.
 
     Attributes:
-        entry: What is or may be appended.
-        verdict: What became of it, or None while that is open.
+        entry: The entry to append.
+        verdict: Its verdict, or None while undecided.
         settled: Set with the verdict.
-        in_doubt: Whether it may stand in the log, or may yet.
-        sending: Whether an append of it is under way.
+        in_doubt: Whether it may be in the log, or may yet be appended.
+        sending: Whether an append of it is in progress.
         queued: Whether it waits for the next append.
-        waiters: How many calls wait for the verdict.
+        waiters: Number of calls that wait for the verdict.
     """
 
     entry: Entry
@@ -63,43 +63,43 @@
 
     @property
     def wanted(self) -> bool:
-        """Return whether somebody still waits for a verdict."""
+        """Return whether a call still waits for a verdict."""
         return self.verdict is None and self.waiters > 0
 
     @property
     def sent(self) -> bool:
-        """Return whether an append of it may have had or have an effect."""
+        """Return whether an append of it may have taken effect, or may yet."""
         return self.in_doubt or self.sending
 
     @property
     def lazy(self) -> bool:
-        """Return whether no answer depends on it."""
+        """Return whether no response to a caller depends on it."""
         return self.entry.kind in LAZY_KINDS
 
     def settle(self, verdict: Verdict) -> None:
-        """Give `verdict` to those who wait, once."""
+        """Set the verdict and wake the waiters, unless it is set already."""
         if self.verdict is None:
             self.verdict = verdict
             self.settled.set()
 
 
 class AppendListener(abc.ABC):
-    """Whatever wants to know how the appends go."""
+    """Receives the results of appends."""
 
     @abc.abstractmethod
     def on_appended(self, offset: LogOffset, payload: bytes) -> None:
-        """Note that the log holds `payload` at `offset`."""
+        """Handle the append of `payload` at `offset`."""
 
     @abc.abstractmethod
     def on_log_failed(self) -> None:
-        """Note that the log did not answer or refused."""
+        """Handle an append that the log refused or did not answer."""
 
 
 class Appender:
-    """The entries on their way into one stream.
+    """Appends the entries of one stream.
 
-    An append starts at once while the stream is idle. Under load the pace
-    lets entries gather, and each append takes all that wait.
+    An append starts at once while the stream is idle. Under load the rate
+    limit lets entries accumulate, and each append takes all that wait.
     """
 
     def __init__(
@@ -111,7 +111,7 @@
         pace: Pace,
         listener: AppendListener,
     ):
-        """Append to `stream` at `pace`, and tell `listener`."""
+        """Append to `stream` at the rate of `pace`, and notify `listener`."""
         self.stream = stream
         self.settings = settings
         self.log = log
@@ -125,7 +125,7 @@
         self.slots = trio.Semaphore(MAX_APPENDS_IN_FLIGHT)
 
     def put(self, pending: Pending) -> None:
-        """Queue `pending`, unless it is on its way already."""
+        """Queue `pending`, unless it is queued, being sent or settled."""
         if pending.queued or pending.sending or pending.verdict:
             return
         pending.queued = True
@@ -198,7 +198,7 @@
             self.listener.on_appended(offset, payload)
 
     def _fail(self, batch: list[Pending]) -> None:
-        """Refuse at once what waits for an answer; try the rest again."""
+        """Fail claims that cannot be in the log; retry all other entries."""
         self.listener.on_log_failed()
         waiting = [pending for pending in self.urgent if pending.wanted]
         self.urgent.clear()
--- a/agatetack/claims/background.py
+++ b/agatetack/claims/background.py
@@ -6,10 +6,10 @@
 
 
 class Background:
-    """Tasks that run for as long as the claim store does."""
+    """Tasks that run as long as the claim store does."""
 
     def __init__(self) -> None:
-        """Take no task before `run`."""
+        """Accept no tasks before `run`."""
         self.nursery: trio.Nursery | None = None
 
     async def run(
@@ -25,7 +25,7 @@
                 self.nursery = None
 
     def start(self, task: Callable[..., Awaitable], *args: object) -> bool:
-        """Start a task; return False if the store does not run."""
+        """Start a task; return False if the store is not running."""
         if self.nursery is None:
             return False
         self.nursery.start_soon(task, *args)
--- a/agatetack/claims/conftest.py
+++ b/agatetack/claims/conftest.py
@@ -1,4 +1,4 @@
-"""Give claim tests a small fleet on one log."""
+"""Provide claim tests with a small fleet on one log."""
 
 import pytest
 import trio
@@ -32,10 +32,10 @@
 
 
 class SkewedClock(Clock):
-    """A wall clock that goes with trio's, off by `skew` seconds."""
+    """A wall clock that advances with trio's, off by `skew` seconds."""
 
     def __init__(self, start: float, skew: float = 0.0):
-        """Read `EPOCH` plus `skew` at `start` on trio's clock."""
+        """Return `EPOCH` plus `skew` at time `start` of trio's clock."""
         self.start = start
         self.skew = skew
 
@@ -46,12 +46,12 @@
 
 
 class ClaimFleet:
-    """Hosts `h0`, `h1` and so on, that share a log and a mesh."""
+    """Hosts `h0`, `h1` and so on that share a log and a mesh."""
 
     def __init__(self, nursery: trio.Nursery, **claims: float):
         """Start with no host; `claims` are settings."""
         self.nursery = nursery
-        # The tables wait for a second until an outage is noticed.
+        # Tests wait little longer than this for hosts to notice an outage.
         self.platform = {
             "log": {
                 "retention_seconds": RETENTION_SECONDS,
@@ -100,7 +100,7 @@
 def make_request(
     key="k", body=b"1", issued=None, seconds=5.0, age=0.0
 ) -> CallerRequest:
-    """Return a request that came `age` seconds ago."""
+    """Return a request that arrived `age` seconds ago."""
     headers = []
     if issued is not None:
         headers.append(Header(b"x-key-issued-at-ms", str(issued).encode()))
@@ -121,5 +121,5 @@
 
 @pytest.fixture
 async def fleet(nursery):
-    """Give a fleet without hosts."""
+    """Provide a fleet without hosts."""
     return ClaimFleet(nursery)
--- a/agatetack/claims/courier.py
+++ b/agatetack/claims/courier.py
@@ -1,4 +1,4 @@
-"""Bring entries to the host that appends for a partition, in batches."""
+"""Send entries in batches to the host that appends for a partition."""
 
 import collections
 import dataclasses
@@ -20,10 +20,10 @@
 from agatetack.settings.model import Settings
 
 MAX_CALLS = 8
-"""Calls to one steward that wait for their reply at the same time."""
+"""Most calls to one coordinator that await replies at the same time."""
 
 REPLY_SHARE = 0.8
-"""Part of a call's time that the steward may use before it must reply."""
+"""Share of a call's timeout within which the coordinator must reply."""
 
 MS = 1000
 """Milliseconds in a second."""
@@ -31,13 +31,13 @@
 
 @dataclasses.dataclass(slots=True)
 class Parcel:
-    """An entry on its way to a steward.
+    """An entry that is sent to a coordinator.
 
     Attributes:
-        entry: What is to be appended.
-        verdict: The steward's verdict, or None if it did not answer.
-        returned: Set once the call ended.
-        wanted: Whether somebody still waits for it.
+        entry: The entry to append.
+        verdict: The coordinator's verdict, or None if it did not answer.
+        returned: Set when the call has ended.
+        wanted: Whether a call of `send` still waits for it.
     """
 
     entry: Entry
@@ -47,10 +47,10 @@
 
 
 class Courier:
-    """Calls one steward about one partition.
+    """Calls one coordinator about one partition.
 
-    A call starts at once while fewer than `MAX_CALLS` are under way, else
-    entries gather for the next.
+    A call starts at once while fewer than `MAX_CALLS` are in progress;
+    otherwise entries accumulate for the next one.
     """
 
     def __init__(
@@ -61,7 +61,7 @@
         steward: HostId,
         partition: int,
     ):
-        """Call `steward`; calls run in `background`."""
+        """Call the host `steward`; calls run in `background`."""
         self.settings = settings
         self.exchange = exchange
         self.background = background
@@ -72,7 +72,7 @@
         self.lazy_due = False
 
     async def send(self, entry: Entry) -> Verdict | None:
-        """Return the steward's verdict, or None if it did not answer."""
+        """Return the coordinator's verdict, or None if it did not answer."""
         parcel = Parcel(entry)
         self.queue.append(parcel)
         if entry.kind in LAZY_KINDS:
@@ -91,7 +91,7 @@
             self.background.start(self._call_while_queued)
 
     def _start_later(self) -> None:
-        """Let entries that nobody waits for ride with others."""
+        """Delay entries that nobody waits for, to batch them with others."""
         if not self.lazy_due:
             self.lazy_due = True
             self.background.start(self._start_lazy)
--- a/agatetack/claims/done_keys.py
+++ b/agatetack/claims/done_keys.py
@@ -1,8 +1,9 @@
 """Remember many keys that are done, in few bytes each.
 
 A done key never changes again, so its digest, the status, a part of the
-request's digest and the time of expiry suffice. Keys are kept in generations
-by the time at which their records were written; one is dropped whole.
+request's digest and the expiry time are enough. Keys are grouped into
+generations by the time at which their records were written, and a generation
+is dropped as a whole.
 """
 
 import array
@@ -11,13 +12,13 @@
 from collections.abc import Iterator
 
 GENERATIONS = 16
-"""Full generations that together hold all keys a partition may have."""
+"""Number of full generations that hold all keys a partition may have."""
 
 FIRST_SIZE = 256
-"""Slots of a new generation's table."""
+"""Slots in the table of a new generation."""
 
 MAX_LOAD = 2 / 3
-"""Part of a table's slots that may be taken."""
+"""Largest share of a table's slots that may be in use."""
 
 STATUS_BITS = 16
 FINGERPRINT_BYTES = 6
@@ -26,19 +27,19 @@
 
 MINUTE_MS = 60_000
 NO_MINUTE = 0
-"""The expiry of a key that was written again in a later generation."""
+"""Expiry minute of a key that was moved to a later generation."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class DoneKey:
-    """What is remembered of a key that is done.
+    """What is stored of a key that is done.
 
     Attributes:
         key: The key's digest.
-        fingerprint: The first bytes of the request's digest; zeros if it is
-            not known.
+        fingerprint: The first bytes of the request's digest; zeros if
+            unknown.
         status: The HTTP status of the answer.
-        expires_ms: When it is forgotten, by the log's clock.
+        expires_ms: When the key expires, by the log's clock.
     """
 
     key: bytes
@@ -47,24 +48,24 @@
     expires_ms: int
 
     def differs(self, fingerprint: bytes | None) -> bool:
-        """Return whether a request with `fingerprint` is another one."""
+        """Return whether `fingerprint` is that of a different request."""
         if not fingerprint or not any(self.fingerprint):
             return False
         return fingerprint[:FINGERPRINT_BYTES] != self.fingerprint
 
 
 class Generation:
-    """An open-addressing table of keys that were written at about one time.
+    """An open-addressing hash table of keys written at about the same time.
 
     Attributes:
         written_ms: When the record of its first key was written.
         last_ms: When its last key expires.
-        taken: Slots that are taken.
-        left: Keys that were not written again later.
+        taken: Slots in use, also by keys moved to a later generation.
+        left: Keys that were not moved to a later generation.
     """
 
     def __init__(self, written_ms: int):
-        """Start small; the table grows."""
+        """Start with a small table, which grows."""
         self.written_ms = written_ms
         self.last_ms = 0
         self.taken = 0
@@ -79,7 +80,7 @@
         self.minutes = array.array("I", bytes(4 * size))
 
     def add(self, done: DoneKey) -> None:
-        """Remember a key that is not in it."""
+        """Add a key that is not in the table."""
         if self.taken + 1 > self.size * MAX_LOAD:
             self._grow()
         first, second = _halves(done.key)
@@ -96,14 +97,14 @@
         self.left += 1
 
     def find(self, first: int, second: int) -> int | None:
-        """Return the slot of a key, or None if it is not in it any more."""
+        """Return the slot of a key, or None if it is absent or was moved."""
         slot = self._slot(first, second)
         if not self.firsts[slot] or self.minutes[slot] == NO_MINUTE:
             return None
         return slot
 
     def get(self, slot: int) -> DoneKey:
-        """Return what is remembered in `slot`."""
+        """Return the key stored in `slot`."""
         value = self.values[slot]
         first = self.firsts[slot].to_bytes(HALF_BYTES)
         prefix = value >> STATUS_BITS
@@ -115,18 +116,18 @@
         )
 
     def drop(self, slot: int) -> None:
-        """Forget the key in `slot`, which stands in a later generation."""
+        """Remove the key in `slot`, which is now in a later generation."""
         self.minutes[slot] = NO_MINUTE
         self.left -= 1
 
     def kept(self) -> Iterator[DoneKey]:
-        """Yield the keys that were not written again later."""
+        """Yield the keys that were not moved to a later generation."""
         for slot in range(self.size):
             if self.firsts[slot] and self.minutes[slot] != NO_MINUTE:
                 yield self.get(slot)
 
     def _slot(self, first: int, second: int) -> int:
-        """Return the slot of a key by its halves, or a free one for it."""
+        """Return the slot of a key, or a free slot if it is absent."""
         firsts = self.firsts
         slot = first % self.size
         while found := firsts[slot]:
@@ -151,10 +152,10 @@
 
 
 class DoneKeys:
-    """The done keys of one partition whose records are of one kind."""
+    """The done keys of one partition: either the dated or the undated ones."""
 
     def __init__(self, max_keys: int, span_ms: int):
-        """Expect up to `max_keys` keys; begin a generation each `span_ms`."""
+        """Expect up to `max_keys` keys; begin a generation every `span_ms`."""
         self.capacity = max(1, -(-max_keys // GENERATIONS))
         self.span_ms = span_ms
         self.generations: collections.deque[Generation] = collections.deque()
@@ -164,11 +165,11 @@
         return sum(generation.left for generation in self.generations)
 
     def add(self, done: DoneKey, written_ms: int) -> None:
-        """Remember a key that is not known yet."""
+        """Add a key that is not known yet."""
         self._newest(written_ms).add(done)
 
     def find(self, key: bytes) -> DoneKey | None:
-        """Return what is known of `key`, or None."""
+        """Return the done key with digest `key`, or None."""
         first, second = _halves(key)
         for generation in reversed(self.generations):
             slot = generation.find(first, second)
@@ -177,7 +178,7 @@
         return None
 
     def rewrite(self, key: bytes, written_ms: int) -> None:
-        """Note that a known key was written again."""
+        """Move a known key that was written again to the newest generation."""
         newest = self._newest(written_ms)
         first, second = _halves(key)
         for generation in self.generations:
@@ -187,7 +188,7 @@
                 generation.drop(slot)
 
     def forget(self, now_ms: int) -> None:
-        """Drop the generations that hold no key any more."""
+        """Drop the generations that hold no unexpired keys."""
         if any(self._is_empty(old, now_ms) for old in self.generations):
             self.generations = collections.deque(
                 generation
@@ -196,11 +197,11 @@
             )
 
     def due(self, before_ms: int, expires_ms: int, limit: int) -> list[DoneKey]:
-        """Return keys to write again.
+        """Return keys that must be written again.
 
         Args:
             before_ms: Generations begun before this are due.
-            expires_ms: Keys that expire before this need no writing.
+            expires_ms: Keys that expire before this are left out.
             limit: Most keys to return.
         """
         found: list[DoneKey] = []
@@ -229,6 +230,6 @@
 
 
 def _halves(key: bytes) -> tuple[int, int]:
-    """Return both halves of a digest; the first is not 0, a free slot."""
+    """Return both halves of a digest; the first is not 0, the free slot."""
     first = int.from_bytes(key[:HALF_BYTES]) or 1
     return first, int.from_bytes(key[HALF_BYTES:])
--- a/agatetack/claims/fold.py
+++ b/agatetack/claims/fold.py
@@ -1,16 +1,19 @@
-"""Fold a claim stream into who holds which key, the same on every host.
-
-Rules, in the order of the log:
-
-* A claim is live if its key is free and it had seen the key's last release.
-* A release frees the key its attempt holds. On a free key it is a barrier:
-  every claim that had not seen it is dead on arrival, its own included.
-* A held key becomes done; nothing frees a key that is done.
-* A kept key is taken over by a reader that does not know a holder. Where
-  another attempt holds it, the key stays held until it is done or expires.
-
-A reader that starts at a later record may hold a key blocked that others
-know to be free, but never the other way round, as only held keys are kept.
+"""Fold a claim stream into the holder of each key, the same on every host.
+
+Rules, applied in the order of the log:
+
+* A claim is granted if its key is free and the claim's host had read the
+  key's last release when the request arrived.
+* A release frees the key that its attempt holds. On a free key it is a
+  barrier: every claim whose host had not read it is dead, also the claim of
+  the same attempt.
+* A done entry makes its key done; nothing frees a done key.
+* A keep entry makes its attempt the holder for a reader that knows of no
+  holder. If another attempt holds the key, the key stays held until it is
+  done or expires.
+
+A reader that starts at a later record may regard a key as held that others
+know to be free, but never the reverse, as free keys are not written again.
 """
 
 import collections
@@ -27,19 +30,19 @@
 from agatetack.settings.model import Settings
 
 NO_RELEASE = -1
-"""The barrier of a key that was never released."""
+"""Barrier of a key that was never released."""
 
 NOBODY = b""
-"""Holds a key that two attempts seem to hold; no release names it."""
+"""Holder of a key that two attempts seem to hold; no release matches it."""
 
 MS = 1000
 """Milliseconds in a second."""
 
 UNDATED_SPAN = 0.1
-"""Part of the log's retention in which keys are written again together."""
+"""Share of the log's retention whose keys are written again together."""
 
 MINUTE_MS = 60 * MS
-"""Keys are forgotten by the minute."""
+"""Milliseconds in a minute, the step in which keys expire."""
 
 
 @dataclasses.dataclass(slots=True)
@@ -47,14 +50,14 @@
     """What is known of a key that is free or held.
 
     Attributes:
-        attempt: Who holds it, or None if it is free.
+        attempt: The attempt that holds it, or None if it is free.
         fingerprint: Digest of the holder's request.
-        dated: Whether the caller said when the key was issued.
+        dated: Whether the caller sent the time at which the key was issued.
         until_ms: The holder's deadline on the wall clock, in ms since 1970.
         claimed_ms: When it was claimed or freed, by the log's clock.
         written_ms: When its newest record was written, by the log's clock.
         barrier: The offset of its last release, or `NO_RELEASE`.
-        released: The attempt of its last release.
+        released: The attempt named in its last release.
     """
 
     attempt: bytes | None
@@ -69,7 +72,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class KeyTime:
-    """A time on the log's clock that matters for a key."""
+    """When a record of a key was written, by the log's clock."""
 
     at_ms: int
     key: bytes
@@ -84,14 +87,14 @@
         since_ms: Claims before this time may be missing.
         gap: Whether records before the next one were never read.
         keys: The state of each key that is free or held.
-        done: Dated keys that are done; nothing changes them any more.
+        done: Dated keys that are done; they never change again.
         undated: Keys without a time of issue that are done.
         expiries: Keys by the minute after which they may be forgotten.
         written: When records of held, undated keys were written, in order.
     """
 
     def __init__(self, settings: Settings):
-        """Know nothing yet."""
+        """Start with no keys, before the first record."""
         claims = settings.claims
         self.dated_keep_ms = int(2 * claims.key_window_seconds * MS)
         self.undated_keep_ms = int(claims.undated_window_seconds * MS)
@@ -108,12 +111,12 @@
         self.written: collections.deque[KeyTime] = collections.deque()
 
     def start(self, offset: LogOffset) -> None:
-        """Go on at `offset`, as the records before it are gone."""
+        """Continue at `offset`, as the records before it were dropped."""
         self.next = offset
         self.gap = True
 
     def advance(self, offset: LogOffset, at_ms: int) -> None:
-        """Count the record at `offset` as folded; forget what is too old."""
+        """Mark the record at `offset` as folded; drop expired keys."""
         self.next = LogOffset(offset + 1)
         minute = self.now_ms // MINUTE_MS
         self.now_ms = max(self.now_ms, at_ms)
@@ -157,16 +160,16 @@
         if state is None:
             state = self._add(entry.key, at_ms)
         elif state.attempt not in (None, entry.attempt):
-            # The holder's own release will be a later barrier than this.
+            # A later release by the holder will be a barrier for this one, too.
             return
         state.attempt = None
         state.barrier = offset
         state.released = entry.attempt
-        # A barrier is of use only against requests that are still open.
+        # A barrier matters only to requests that are still open.
         self._date(entry.key, state, at_ms, dated=True)
 
     def _is_done(self, at_ms: int, entry: Entry) -> bool:
-        """Return whether the key is done; note if it is written again."""
+        """Return whether the key is done; record if it is written again."""
         if self.done.find(entry.key):
             return True
         if not self.undated.find(entry.key):
@@ -181,7 +184,7 @@
         if state is not None:
             self._undate(entry.key, state)
             del self.keys[entry.key]
-        # A reader that missed the claim does not know what it was for.
+        # A reader that missed the claim does not know its fingerprint.
         if state is not None and state.attempt == entry.attempt:
             fingerprint = state.fingerprint
             dated = state.dated
@@ -196,7 +199,7 @@
         claimed_ms: int,
         at_ms: int,
     ) -> None:
-        """Remember that a key is done, in few bytes."""
+        """Store a done key in the compact form."""
         keep_ms = self.dated_keep_ms if dated else self.undated_keep_ms
         done = DoneKey(
             entry.key, fingerprint, entry.status, claimed_ms + keep_ms
@@ -208,7 +211,7 @@
 
     def _keep(self, at_ms: int, entry: Entry, state: KeyState | None) -> None:
         if entry.status:
-            # That it ran is certain, whatever this reader has missed.
+            # The request certainly ran, whichever records were missed here.
             if state is not None:
                 self._undate(entry.key, state)
                 del self.keys[entry.key]
@@ -220,7 +223,8 @@
             self._written(entry.key, state, at_ms)
             return
         elif state.attempt is not None:
-            # Either reader may have missed a release; none may free it now.
+            # This reader or the entry's writer may have missed a release, so
+            # no release may free the key any more.
             state.attempt = NOBODY
             return
         elif state.released == entry.attempt:
@@ -248,7 +252,7 @@
     def _date(
         self, key: bytes, state: KeyState, claimed_ms: int, dated: bool
     ) -> None:
-        """Set from when on and for how long the key is remembered."""
+        """Set the times from which and for how long the key is kept."""
         self._undate(key, state)
         state.claimed_ms = claimed_ms
         state.dated = dated
@@ -261,13 +265,13 @@
             keys.discard(key)
 
     def _written(self, key: bytes, state: KeyState, at_ms: int) -> None:
-        """Note that a record of a held key was written at `at_ms`."""
+        """Record that an entry of a held key was written at `at_ms`."""
         state.written_ms = at_ms
         if not state.dated:
             self.written.append(KeyTime(at_ms, key))
 
     def expires_ms(self, state: KeyState) -> int:
-        """Return when `state` is forgotten, by the log's clock."""
+        """Return when `state` expires, by the log's clock."""
         if state.dated:
             return state.claimed_ms + self.dated_keep_ms
         return state.claimed_ms + self.undated_keep_ms
@@ -285,7 +289,7 @@
         return len(self.keys) + len(self.done) + len(self.undated)
 
     def find_done(self, key: bytes) -> DoneKey | None:
-        """Return what is known of a key that is done, or None."""
+        """Return the done key with digest `key`, or None."""
         return self.done.find(key) or self.undated.find(key)
 
     def has(self, entry: Entry) -> bool:
@@ -300,11 +304,12 @@
         return state.released == entry.attempt
 
     def look(self, key: bytes, fingerprint: bytes | None) -> Verdict:
-        """Return what is known of `key`.
+        """Return the current verdict on `key`.
 
         Args:
             key: The key's digest.
-            fingerprint: The digest of a request that wants to run, or None.
+            fingerprint: The digest of a request to compare with the one that
+                used the key, or None.
         """
         state = self.keys.get(key)
         if state is None:
@@ -324,7 +329,7 @@
         return Verdict(VerdictKind.DONE, status=done.status)
 
     def judge(self, entry: Entry) -> Verdict:
-        """Return what became of `entry`, which was folded just now."""
+        """Return the verdict on `entry`, which was just folded."""
         if entry.kind != EntryKind.CLAIM:
             return self.look(entry.key, entry.fingerprint)
         state = self.keys.get(entry.key)
--- a/agatetack/claims/host_claims.py
+++ b/agatetack/claims/host_claims.py
@@ -1,4 +1,4 @@
-"""Grant claims where each attempt of a caller reaches one host only."""
+"""Grant claims where each attempt of a caller reaches only one host."""
 
 from returns.result import Result, Success
 
@@ -10,23 +10,23 @@
 
 
 class HostClaims(ClaimStore):
-    """Claims of a platform whose callers name each of their attempts.
+    """Claims on a platform where callers give each attempt its own id.
 
-    No other host ever has the same attempt, and a connection brings each
-    request once, so the host that read it may dispatch it: at most once holds
-    by the rule that nothing is sent again unless it certainly was not run.
+    No other host receives the same attempt, and a connection delivers each
+    request once, so the host that read it may dispatch it. A request runs at
+    most once because it is only sent again if it certainly did not run.
     """
 
     async def claim(
         self, route: Route, request: CallerRequest, attempt: AttemptId
     ) -> Result[Claim, Refusal]:
-        """Return leave to dispatch."""
+        """Return permission to dispatch."""
         key = IdempotencyKey(request.request_id)
         return Success(Claim(route.id, key, attempt))
 
     async def finish(self, claim: Claim, status: int) -> None:
-        """Do nothing, as nobody can ask for the claim again."""
+        """Do nothing, as no other attempt can ask for the claim."""
 
     async def release(self, claim: Claim) -> bool:
-        """Return that the claim is free."""
+        """Return True: the claim is free."""
         return True
--- a/agatetack/claims/inquiry.py
+++ b/agatetack/claims/inquiry.py
@@ -1,8 +1,8 @@
 """Ask the other hosts about a key while the log does not answer.
 
 "Not run" is true of a key only if no earlier attempt of it ran or can still
-run. With the log out, only the other hosts together can tell: each knows its
-own open attempts, and what it last read.
+run. During a log outage only all hosts together can decide this: each knows
+its own open attempts and the records that it read before.
 """
 
 import dataclasses
@@ -26,16 +26,16 @@
 from agatetack.settings.model import Settings
 
 MAX_ROUNDS = 2
-"""Rounds that a question may take, as one may be under way already."""
+"""Most rounds that a question takes, as one may be in progress already."""
 
 
 @dataclasses.dataclass(slots=True)
 class Asked:
-    """A question on its way to all peers.
+    """A question that is sent to all peers.
 
     Attributes:
-        question: What is asked.
-        unused: Whether no host knows of an attempt, once answered.
+        question: The question.
+        unused: Whether no host knows of an attempt; valid once answered.
         answered: Set with `unused`.
     """
 
@@ -47,8 +47,8 @@
 class Inquiries:
     """Asks all hosts in rounds, and answers their questions.
 
-    Questions that come during a round share the next one, so that a log
-    outage under load costs a bounded number of calls.
+    Questions that arrive during a round share the next one, so that a log
+    outage under load causes a bounded number of calls.
     """
 
     def __init__(
@@ -71,7 +71,7 @@
     async def unused(self, number: int, key: bytes) -> bool:
         """Return whether no other attempt of `key` ran or can still run.
 
-        False also means that not every host could be asked.
+        It is also False if not every host could be asked.
         """
         if not self._all_seen():
             return False
@@ -85,7 +85,7 @@
         return asked.unused
 
     def answer(self, inquiry: Inquiry) -> list[Verdict]:
-        """Answer a peer; a key that is said to be free is barred here."""
+        """Answer a peer; a key that is answered as free is barred here."""
         questions = inquiry.questions or []
         return [self._answer(question) for question in questions]
 
@@ -161,7 +161,7 @@
 
 
 def _is_free(kinds: set[int]) -> bool:
-    """Return whether no host knows a claim and one knows the whole stream."""
+    """Return whether no host knows a claim and one read the whole stream."""
     return VerdictKind.FREE in kinds and kinds <= {
         VerdictKind.FREE,
         VerdictKind.NOT_READY,
--- a/agatetack/claims/keeper.py
+++ b/agatetack/claims/keeper.py
@@ -1,4 +1,4 @@
-"""Write held keys again before the log's retention drops their records."""
+"""Re-append keys before the log's retention drops their records."""
 
 import trio
 
@@ -13,29 +13,29 @@
 from agatetack.settings.model import Settings
 
 PASS_SECONDS = 1.0
-"""Pause between two looks for due keys."""
+"""Pause between two checks for due keys."""
 
 FIRST_SHARE = 0.5
-"""Part of the retention after which the first host writes a key again."""
+"""Share of the retention after which the first host re-appends a key."""
 
 NEXT_SHARE = 0.05
-"""Part of the retention by which each further host waits longer."""
+"""Share of the retention by which each further host waits longer."""
 
 LAST_PLACE = 6
-"""Hosts from this place on wait equally long."""
+"""Hosts from this rank on wait equally long."""
 
 
 class Keeper:
-    """Writes undated keys again; dated ones expire before retention does.
+    """Re-appends undated keys; dated keys expire before their retention ends.
 
-    The steward of a partition comes first. Another host finds a key due only
-    if those before it failed to write it; two that do so at once do no harm.
-    A host that has just read to the end of the stream waits for nobody, as it
-    can't know whether anybody was there before.
+    The coordinator of a partition comes first. Another host finds a key due
+    only if those ranked before it failed to re-append it; two hosts that do
+    so at once do no harm. A host that has just read to the end of the stream
+    does not wait, as it can't know whether any host was running before.
     """
 
     def __init__(self, settings: Settings, router: Router, metrics: Metrics):
-        """Take this host's turn from `router`."""
+        """Take this host's rank from `router`."""
         self.settings = settings
         self.router = router
         self.retention_ms = int(settings.platform.log.retention_seconds * MS)
@@ -44,9 +44,10 @@
         )
 
     async def run(self, partition: Partition) -> None:
-        """Write due keys again until cancelled.
+        """Re-append due keys until cancelled.
 
-        Every second, and at once when the stream was read to its end.
+        Runs every second, and at once when the stream is read to its end
+        after a gap.
         """
         place = 0
         while True:
@@ -60,10 +61,10 @@
                 place = min(self.router.place(partition.number), LAST_PLACE)
 
     async def _write_due(self, partition: Partition, place: int) -> None:
-        """Write the keys that are due at a place, the oldest ones first."""
+        """Re-append the keys that are due at rank `place`, oldest first."""
         oldest = None
         entries = self._due_entries(partition, place)
-        # A key that is not settled stays in front and is due again.
+        # A key whose append failed stays first; the next pass retries it.
         while entries and entries[0].key != oldest:
             oldest = entries[0].key
             timeout = self.settings.platform.log.timeout_seconds
@@ -104,7 +105,7 @@
             written.popleft()
 
     def _is_needed(self, partition: Partition, item: KeyTime) -> bool:
-        """Return whether `item` is the key's newest record and matters."""
+        """Return whether `item` is the key's newest record and still needed."""
         state = partition.fold.keys.get(item.key)
         if state is None or state.attempt is None:
             return False
@@ -116,7 +117,7 @@
 
 
 def keep_entry(key: bytes, state: KeyState) -> Entry:
-    """Return the entry that writes a held key again."""
+    """Return the entry that re-appends a held key."""
     return Entry(
         kind=EntryKind.KEEP,
         key=key,
@@ -129,7 +130,7 @@
 
 
 def _keep_done_entry(done: DoneKey, keep_ms: int) -> Entry:
-    """Return the entry that writes a done key again, whoever ran it."""
+    """Return the entry that re-appends a done key, whichever attempt ran."""
     return Entry(
         kind=EntryKind.KEEP,
         key=done.key,
--- a/agatetack/claims/key.py
+++ b/agatetack/claims/key.py
@@ -1,4 +1,4 @@
-"""Read a never-repeated request's key and digest what is compared."""
+"""Read the key of an at-most-once request and compute its digests."""
 
 import dataclasses
 import hashlib
@@ -22,13 +22,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RequestKey:
-    """What identifies a never-repeated request.
+    """What identifies an at-most-once request.
 
     Attributes:
-        digest: Stands for the service and the caller's key.
-        fingerprint: Stands for what the request asks for.
+        digest: Digest of the service and the caller's key.
+        fingerprint: Digest of the request's method, path and body.
         issued_ms: When the key was first used, in ms since 1970, or None.
-        partition: The partition of its claim stream.
+        partition: The partition that holds its claims.
     """
 
     digest: bytes
@@ -38,7 +38,7 @@
 
 
 def _digest(*parts: bytes) -> bytes:
-    """Return a digest of `parts` that keeps them apart."""
+    """Return a digest of `parts` and of the boundaries between them."""
     digest = hashlib.blake2b(digest_size=DIGEST_BYTES)
     for part in parts:
         digest.update(len(part).to_bytes(8, "big"))
@@ -47,14 +47,14 @@
 
 
 def attempt_digest(attempt: AttemptId) -> bytes:
-    """Return the digest that stands for an attempt in records."""
+    """Return the digest that identifies an attempt in records."""
     return _digest(attempt.encode())
 
 
 def _fingerprint(request: CallerRequest) -> bytes:
-    """Return a digest of what the request asks for.
+    """Return a digest of the request's method, path and body.
 
-    A body that is not held in memory counts by its length only.
+    Of a body that is not held in memory only the length is included.
     """
     body = request.body
     if isinstance(body, BytesBody):
@@ -65,7 +65,7 @@
 
 
 def key_digest(route: Route, key: IdempotencyKey) -> bytes:
-    """Return the digest that stands for a key within a route's service."""
+    """Return the digest that identifies a key within a route's service."""
     return _digest(route.service.encode(), key.encode())
 
 
@@ -77,10 +77,10 @@
 def read_key(
     settings: Settings, route: Route, request: CallerRequest
 ) -> Result[RequestKey, Refusal]:
-    """Return the key of `request`, or why it has no usable one.
+    """Return the key of `request`, or a refusal if it has no usable key.
 
-    The key counts within the route's service, so that a route that is
-    renamed or split does not make old keys new.
+    Keys are scoped to the route's service, so that renaming or splitting a
+    route does not make used keys new.
     """
     key = request.key
     if not key:
@@ -100,7 +100,7 @@
     name = settings.callers.headers.issued_at.encode()
     issued = find_header(request.headers, name)
     if issued is not None and not _is_time(issued):
-        # The key itself is good, so an earlier attempt may have run.
+        # The key itself is valid, so an earlier attempt may have run.
         return Failure(
             Refusal(
                 RefusalReason.KEY_MALFORMED,
--- a/agatetack/claims/log_store.py
+++ b/agatetack/claims/log_store.py
@@ -1,4 +1,4 @@
-"""Give leave to run never-repeated requests, by the order of the log."""
+"""Permit at-most-once requests to run, by the order of the log."""
 
 import dataclasses
 
@@ -35,16 +35,16 @@
 from agatetack.settings.model import Settings
 
 HOUSEKEEPING_SECONDS = 1.0
-"""How often keys that need not be remembered are dropped."""
+"""Interval at which keys that need not be remembered are dropped."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class HeldClaim(Claim):
-    """A claim together with what its records need.
+    """A claim with the data that its records need.
 
     Attributes:
         request_key: The key's digests.
-        deadline: When the request's answer is of no more use.
+        deadline: When a response to the request is no longer of use.
     """
 
     request_key: RequestKey
@@ -56,7 +56,7 @@
 
     Attributes:
         partitions: The claim streams, by number.
-        open_keys: Keys that this host's own attempts use.
+        open_keys: Keys of this host's own open attempts.
         recorder: Appends outcomes and releases in the background.
     """
 
@@ -68,7 +68,7 @@
         metrics: Metrics,
         clock: Clock,
     ):
-        """Prepare; nothing is read or written before `run`."""
+        """Set up the parts; nothing is read or written before `run`."""
         self.settings = settings
         self.clock = clock
         self.background = Background()
@@ -105,7 +105,7 @@
     async def run(
         self, task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED
     ) -> None:
-        """Read and append until cancelled; started before it has caught up."""
+        """Read and append until cancelled; starts before it has caught up."""
         async with trio.open_nursery() as nursery:
             await nursery.start(self.background.run)
             for partition in self.partitions:
@@ -120,7 +120,7 @@
         return all(partition.ready for partition in self.partitions)
 
     async def flush(self, deadline: Deadline) -> bool:
-        """Wait for outcomes that are not in the log yet; return whether."""
+        """Wait until all outcomes are in the log; return whether they are."""
         return await self.recorder.flush(deadline)
 
     async def _keep_house(self) -> None:
@@ -137,7 +137,7 @@
     async def claim(
         self, route: Route, request: CallerRequest, attempt: AttemptId
     ) -> Result[Claim, Refusal]:
-        """Return leave to dispatch, or why the request is refused."""
+        """Return permission to dispatch, or why the request is refused."""
         read = read_key(self.settings, route, request)
         if isinstance(read, Failure):
             return read
@@ -166,8 +166,8 @@
     async def release(self, claim: HeldClaim) -> bool:
         """Record that the request was never dispatched.
 
-        A release that is not settled by the request's deadline, or soon
-        after now, is tried further in the background.
+        A release that is not settled by the request's deadline, or shortly
+        after the call, is retried in the background.
         """
         partition = self._partition_of(claim)
         self.open_keys.close(claim.request_key.digest)
@@ -182,7 +182,7 @@
         return False
 
     def _look(self, key: RequestKey, request: CallerRequest) -> Refusal | None:
-        """Return the refusal that is known without asking, or None."""
+        """Return a refusal if this host's own state requires one, or None."""
         partition = self.partitions[key.partition]
         retry_at = self._retry_at()
         known = partition.fold.look(key.digest, key.fingerprint)
@@ -197,9 +197,10 @@
         return None
 
     def _barred(self, key: RequestKey, request: CallerRequest) -> bool:
-        """Return whether a "not run" may have been said of the key since.
+        """Return whether "not run" may have been answered since the arrival.
 
-        Releases in the log are remembered for at least one window.
+        Releases are only sure to be remembered for one window, so a request
+        that arrived earlier is refused.
         """
         window = self.settings.claims.key_window_seconds
         too_old = trio.current_time() - request.arrived > window
@@ -232,7 +233,7 @@
     def _too_late(self, held: HeldClaim, entry: Entry) -> bool:
         """Return whether the request's deadline has passed on either clock.
 
-        The monotonic clock may stand still while a host is suspended.
+        The monotonic clock may stop while a host is suspended.
         """
         late = trio.current_time() >= held.deadline
         return late or self.clock.wall() * MS >= entry.until_ms
@@ -254,7 +255,7 @@
         return refusals.not_claimed(reason, unused, self._retry_at())
 
     def _abandon(self, held: HeldClaim) -> Refusal:
-        """Make the claim dead in the background and answer "unknown"."""
+        """Void the claim in the background and refuse as "unknown"."""
         entry = self._entry(held, EntryKind.RELEASE)
         self.recorder.record(self._partition_of(held), entry)
         return refusals.in_doubt(self._retry_at())
@@ -266,8 +267,8 @@
     def _expired(self, partition: Partition, key: RequestKey) -> bool:
         """Return whether the key may have been used and forgotten.
 
-        Keys are kept for two windows. The second one is the slack for hosts
-        and callers whose clocks disagree, a third of it for each.
+        Keys are kept for two windows. The second one allows for differences
+        between the clocks of hosts and callers, a third of it for each.
         """
         if key.issued_ms is None:
             return False
--- a/agatetack/claims/open_keys.py
+++ b/agatetack/claims/open_keys.py
@@ -1,4 +1,4 @@
-"""Remember this host's own attempts until its fold shows their claims."""
+"""Track this host's own attempts until its fold contains their claims."""
 
 import dataclasses
 
@@ -8,16 +8,16 @@
 from agatetack.ids import Deadline
 
 MAX_BARS = 20_000
-"""Keys that are refused because another host said "not run" of them."""
+"""Most keys that are refused because another host answered "not run"."""
 
 
 @dataclasses.dataclass(slots=True)
 class OpenKey:
-    """One key with an attempt of this host.
+    """A key with an attempt on this host.
 
     Attributes:
         partition: The key's partition.
-        granted_at: When its claim was granted, or None while that is open.
+        granted_at: When its claim was granted, or None while undecided.
     """
 
     partition: int
@@ -25,23 +25,23 @@
 
 
 class OpenKeys:
-    """Keys that this host is about to run, or that it must not run."""
+    """Keys with open attempts on this host, and keys that it must refuse."""
 
     def __init__(self) -> None:
-        """Know of no key."""
+        """Start without keys."""
         self.opened: dict[bytes, OpenKey] = {}
         self.bars: dict[bytes, Deadline] = {}
 
     def open(self, key: bytes, partition: int) -> None:
-        """Note that an attempt of `key` begins."""
+        """Record that an attempt of `key` begins."""
         self.opened[key] = OpenKey(partition)
 
     def close(self, key: bytes) -> None:
-        """Note that the attempt did not get leave to run."""
+        """Record that the attempt was not permitted to run."""
         self.opened.pop(key, None)
 
     def granted(self, key: bytes) -> None:
-        """Note that the attempt runs; the fold will tell so."""
+        """Record that the attempt runs; the fold will contain its claim."""
         opened = self.opened.get(key)
         if opened is not None:
             opened.granted_at = Deadline(trio.current_time())
@@ -52,7 +52,7 @@
         return opened is not None and not _is_seen(opened, partition)
 
     def purge(self, partition: Partition) -> None:
-        """Drop granted keys whose claims the fold must have seen by now."""
+        """Drop granted keys whose claims the fold must contain by now."""
         seen = [
             key
             for key, opened in self.opened.items()
@@ -66,7 +66,7 @@
         """Refuse requests for `key` that have arrived by now.
 
         Returns:
-            Whether the bar holds; False if there are too many.
+            Whether the key is barred; False if too many keys are.
         """
         if len(self.bars) >= MAX_BARS and key not in self.bars:
             return False
@@ -74,19 +74,19 @@
         return True
 
     def barred(self, key: bytes, arrived: Deadline) -> bool:
-        """Return whether a request that came at `arrived` is refused."""
+        """Return whether a request that arrived at `arrived` is refused."""
         at = self.bars.get(key)
         return at is not None and arrived <= at
 
     def purge_bars(self, before: Deadline) -> None:
-        """Drop bars against requests that came before `before`."""
+        """Drop bars that only apply to requests from before `before`."""
         old = [key for key, at in self.bars.items() if at < before]
         for key in old:
             del self.bars[key]
 
 
 def _is_seen(opened: OpenKey, partition: Partition) -> bool:
-    """Return whether a read that began after the grant reached the end."""
+    """Return whether a read after the grant reached the stream's end."""
     if opened.granted_at is None:
         return False
     return opened.granted_at < partition.current_from
--- a/agatetack/claims/pace.py
+++ b/agatetack/claims/pace.py
@@ -1,4 +1,4 @@
-"""Keep appends to a share of what the log takes in a second."""
+"""Limit the rate of this host's appends to one claim stream."""
 
 from collections.abc import Callable
 
@@ -8,26 +8,26 @@
 
 
 class Pace:
-    """A token bucket of one token, so that an idle partition never waits.
+    """A token bucket of one token: an idle partition appends without delay.
 
     Attributes:
-        rate: Returns the appends allowed in a second, asked each time.
+        rate: Returns the allowed appends per second; called for each append.
         free_at: When the next append may start.
     """
 
     def __init__(self, rate: Callable[[], float]):
-        """Allow `rate()` appends in a second."""
+        """Allow `rate()` appends per second."""
         self.rate = rate
         self.free_at = Deadline(0.0)
 
     async def take(self) -> None:
-        """Wait until an append may start, and count it."""
+        """Wait until an append may start, and count it as started."""
         while True:
             now = trio.current_time()
             if now >= self.free_at:
                 break
             await trio.sleep_until(self.free_at)
-        # A late start does not earn a later burst beyond one interval.
+        # However late this append starts, only one more may follow at once.
         interval = 1 / self.rate()
         self.free_at = Deadline(max(self.free_at + interval, now))
 
--- a/agatetack/claims/partition.py
+++ b/agatetack/claims/partition.py
@@ -1,4 +1,4 @@
-"""Follow one claim stream and settle the entries that wait for it."""
+"""Read one claim stream and give pending entries their verdicts."""
 
 import collections
 import dataclasses
@@ -31,14 +31,14 @@
 from agatetack.settings.model import Settings
 
 POSITIONS = 512
-"""How many past positions of the tail are remembered."""
+"""Number of past read positions that are remembered."""
 
 log_lines = PartLog("claims")
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class PendingId:
-    """What tells one entry on its way from another."""
+    """Identifies an entry that waits for its verdict."""
 
     kind: int
     attempt: bytes
@@ -46,7 +46,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Position:
-    """The first offset that was not folded at a time."""
+    """The first offset that was not folded at a given time."""
 
     at: Deadline
     next: LogOffset
@@ -57,11 +57,11 @@
 
     Attributes:
         number: Which partition it is, from 0.
-        fold: Who holds which key.
+        fold: Which attempt holds which key, by the records read so far.
         ready: Whether the fold has reached the stream's end.
-        reachable: Whether the log answered last.
-        reading: Tells when the stream was read to its end after a gap.
-        current_from: When the last read began that reached the end.
+        reachable: Whether the log answered the last time it was called.
+        reading: Signals when the stream is read to its end after a gap.
+        current_from: When the last read that reached the end began.
     """
 
     def __init__(
@@ -109,21 +109,21 @@
         return LogOffset(0)
 
     def log_ms(self) -> int:
-        """Return the log's time as far as known, in ms since 1970."""
+        """Return the estimated time of the log's clock, in ms since 1970."""
         return max(self.fold.now_ms, int(self.clock.wall() * MS))
 
-    # Entries on their way.
+    # Pending entries.
 
     async def submit(
         self, entries: list[Entry], deadline: Deadline
     ) -> list[Verdict]:
-        """Append `entries` and return what became of each.
+        """Append `entries` and return a verdict for each.
 
-        An entry may be given again; a second record of it changes nothing.
+        An entry may be submitted again; a second record of it has no effect.
 
         Returns:
             For each entry FAILED or NOT_READY if no append of it was sent,
-            IN_DOUBT if one was or may be, else the fold's verdict.
+            IN_DOUBT if one was or may be sent, else the fold's verdict.
         """
         if not self.ready:
             return [Verdict(VerdictKind.NOT_READY) for _ in entries]
@@ -143,7 +143,7 @@
         ]
 
     def watch(self, entry: Entry) -> Pending:
-        """Return what will hold the verdict once `entry` is folded here."""
+        """Return an object that gets the verdict once `entry` is folded."""
         name = PendingId(entry.kind, entry.attempt)
         pending = self.pending.get(name)
         if pending is None:
@@ -155,19 +155,19 @@
         return pending
 
     def unwatch(self, pending: Pending) -> None:
-        """Stop waiting for what `watch` returned; unsent it stays unsent."""
+        """Stop waiting; an entry that nobody waits for is not sent any more."""
         pending.waiters -= 1
         if not pending.waiters:
             name = PendingId(pending.entry.kind, pending.entry.attempt)
             del self.pending[name]
 
     def on_appended(self, offset: LogOffset, payload: bytes) -> None:
-        """Fold an own record at once, if nothing stands before it."""
+        """Fold an appended record at once, if it is the next one."""
         self.reachable = True
         if self.ready and offset == self.fold.next:
             self._fold(offset, self.log_ms(), payload)
         elif offset >= self.fold.next:
-            # Somebody else's records stand before it.
+            # Records of other hosts precede it and must be read first.
             self._kick()
 
     def on_log_failed(self) -> None:
@@ -181,8 +181,8 @@
         while True:
             self.kicked = trio.Event()
             try:
-                # A failed append ends a read that waits, since the next one
-                # tells at once whether the log answers.
+                # A failed append cancels a waiting read, as the next read
+                # shows at once whether the log answers.
                 with trio.CancelScope() as self.read_scope:
                     await self._read()
             except LogTruncated as error:
@@ -196,25 +196,25 @@
                 await self._pause()
 
     async def _pause(self) -> None:
-        """Let records gather, as a read for each would cost too much.
+        """Let records accumulate, as one read per record would cost too much.
 
-        Verdicts do not wait for it: stewards fold their own records at once
-        and tell the others.
+        Verdicts are not delayed: coordinators fold their own records at once
+        and send the verdicts to the other hosts.
         """
         if self.ready and self.reachable:
             with trio.move_on_after(self.settings.claims.read_pause_seconds):
                 await self.kicked.wait()
 
     def _kick(self) -> None:
-        """Read now."""
+        """Start a read now."""
         self.kicked.set()
         self.read_scope.cancel()
 
     async def _read(self) -> None:
         settings = self.settings.platform.log
         started = Deadline(trio.current_time())
-        # Until the end was seen, an empty answer is worth more than a
-        # record that comes later.
+        # Don't wait for new records until a read has reached the end, as an
+        # empty page shows sooner that it has.
         waits = self.ready and self.reachable
         wait = Deadline(started + (settings.poll_seconds if waits else 0))
         deadline = Deadline(wait + settings.timeout_seconds)
@@ -222,10 +222,10 @@
         self._take(page, started)
 
     def _start_over(self, first: LogOffset) -> None:
-        """Go on at the first record kept, as those before it are gone."""
+        """Continue at the first retained record; earlier ones were dropped."""
         if self.fold.next > 0:
             log_lines.warning(
-                "Partition %d lost records %d to %d to retention.",
+                "Partition %d: retention dropped unread records %d to %d.",
                 self.number,
                 self.fold.next,
                 first - 1,
@@ -249,7 +249,7 @@
         self.metrics.log_lag.set(label, max(0, page.end - self.fold.next))
 
     def _take_record(self, record: LogRecord) -> None:
-        # Own appends may have been folded while this page was read.
+        # Records appended here may have been folded during this read.
         if record.offset >= self.fold.next:
             at_ms = math.floor(record.appended_at * MS)
             self._fold(record.offset, at_ms, record.payload)
@@ -258,7 +258,7 @@
         try:
             entries = codec.decode_batch(payload).entries
         except codec.BadMessage as error:
-            log_lines.warning("Record %d is skipped: %s.", offset, error)
+            log_lines.warning("Skipped malformed record %d: %s.", offset, error)
             self._count_dropped("bad-record")
             entries = []
         for entry in entries:
--- a/agatetack/claims/recorder.py
+++ b/agatetack/claims/recorder.py
@@ -1,4 +1,4 @@
-"""Record outcomes and releases in the background, through log outages."""
+"""Record outcomes and releases, with retries through log outages."""
 
 import trio
 
@@ -11,22 +11,22 @@
 from agatetack.settings.model import Settings
 
 MAX_OPEN = 20_000
-"""Entries of this host that wait for the log."""
+"""Most entries of this host that may wait for the log."""
 
 RETRY_SECONDS = 0.2
-"""Pause before an entry is given to the log again."""
+"""Pause before an entry is submitted again."""
 
 UNSETTLED = frozenset(
     (VerdictKind.FAILED, VerdictKind.IN_DOUBT, VerdictKind.NOT_READY)
 )
-"""Verdicts that leave open whether the entry stands in the log."""
+"""Verdicts that do not show whether the entry is in the log."""
 
 
 class Recorder:
-    """Keeps trying to append entries that nobody waits for.
+    """Appends entries that nobody waits for, with retries.
 
     Attributes:
-        open_entries: How many are not in the log yet.
+        open_entries: Number of entries that are not in the log yet.
     """
 
     def __init__(
@@ -47,7 +47,7 @@
         )
 
     def record(self, partition: Partition, entry: Entry) -> None:
-        """Append `entry` in the background, as long as the key is kept."""
+        """Append `entry` in the background, retrying while its key is kept."""
         if self.open_entries >= MAX_OPEN:
             self.dropped.inc({"reason": "too-many"})
         elif self.background.start(self._record, partition, entry):
@@ -56,7 +56,7 @@
             self.dropped.inc({"reason": "stopped"})
 
     async def flush(self, deadline: Deadline) -> bool:
-        """Wait until every entry stands in the log; return whether."""
+        """Wait until all entries are in the log; return whether they are."""
         while self.open_entries and trio.current_time() < deadline:
             await trio.sleep(RETRY_SECONDS / 10)
         return self.open_entries == 0
--- a/agatetack/claims/refusals.py
+++ b/agatetack/claims/refusals.py
@@ -1,4 +1,4 @@
-"""Phrase why a never-repeated request is refused."""
+"""Build the refusals of at-most-once requests."""
 
 from agatetack.claims.fold import MS
 from agatetack.generated.claims.ttypes import Verdict, VerdictKind
@@ -11,8 +11,8 @@
 
     Args:
         verdict: REUSED, DONE or HELD.
-        now: The wall time, to tell whether the holder may still run.
-        retry_at: When to ask for the outcome of a running attempt.
+        now: The wall time, to decide whether the holder may still run.
+        retry_at: When to ask again for the outcome of a running attempt.
     """
     if verdict.kind == VerdictKind.REUSED:
         return refuse(
@@ -50,7 +50,7 @@
 
 
 def in_doubt(retry_at: Deadline) -> Refusal:
-    """Return the refusal for an attempt that was not settled in time."""
+    """Return the refusal for an attempt that was not decided in time."""
     return refuse(
         RefusalReason.CLAIM_IN_DOUBT,
         "It was not settled in time which attempt may run.",
--- a/agatetack/claims/router.py
+++ b/agatetack/claims/router.py
@@ -1,4 +1,4 @@
-"""Choose who appends an entry: a steward for each partition, or this host."""
+"""Choose who appends an entry: the partition's coordinator or this host."""
 
 import dataclasses
 import math
@@ -17,7 +17,7 @@
 from agatetack.settings.model import Settings
 
 AVOID_SECONDS = 2.0
-"""How long a steward that did not answer is passed over."""
+"""How long a coordinator is avoided that did not append an entry."""
 
 USELESS = frozenset((VerdictKind.FAILED, VerdictKind.NOT_READY))
 """Verdicts of a host that appended nothing."""
@@ -25,18 +25,18 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class CourierId:
-    """Whom a courier calls, and about which partition."""
+    """The coordinator that a client calls, and for which partition."""
 
     steward: HostId
     partition: int
 
 
 class Router:
-    """Brings entries into the log and returns what became of them.
+    """Appends entries to the log and returns their verdicts.
 
-    The hosts that are seen alive are ranked for each partition by a hash;
-    the first one, its steward, appends for all, so that one record carries
-    the claims of many hosts. Only the log's order counts: a steward that is
+    Live hosts are ranked for each partition by a hash. The first one, the
+    partition's coordinator, appends for all, so that one record carries the
+    claims of many hosts. Only the log's order decides: a coordinator that is
     wrong, outdated or paused can delay a claim, but not grant one twice.
     """
 
@@ -59,10 +59,10 @@
         )
 
     def rate(self, number: int) -> float:
-        """Return this host's appends in a second to partition `number`.
+        """Return the appends per second that this host may make to a partition.
 
-        Hosts that see only some of the others have stewards of their own;
-        the shares of all such groups add up to the fleet's.
+        Hosts that see only some of the others have their own coordinator;
+        the shares of all such groups add up to the fleet's rate.
         """
         claims = self.settings.claims
         share = claims.fleet_appends_per_second / claims.partitions
@@ -73,7 +73,7 @@
         return share * min(1.0, seen / fleet)
 
     def steward(self, number: int) -> HostId | None:
-        """Return who appends for partition `number`; None is this host."""
+        """Return the coordinator of a partition, or None for this host."""
         now = trio.current_time()
         best = self._rank(HostId(self.settings.host.id), number)
         steward = None
@@ -87,7 +87,7 @@
         return steward
 
     def place(self, number: int) -> int:
-        """Return how many live hosts go before this one, from 0."""
+        """Return how many live hosts are ranked before this one."""
         own = self._rank(HostId(self.settings.host.id), number)
         return sum(
             self._rank(peer.id, number) > own
@@ -100,7 +100,7 @@
     async def submit(
         self, partition: Partition, entry: Entry, deadline: Deadline
     ) -> Verdict:
-        """Append `entry` through its steward and return what became of it.
+        """Append `entry` through its coordinator and return the verdict.
 
         Returns:
             FAILED or NOT_READY if it was never appended and never will be,
@@ -138,7 +138,7 @@
     ) -> Verdict:
         [verdict] = await partition.submit([pending.entry], deadline)
         if verdict.kind == VerdictKind.NOT_READY and pending.sent:
-            # A steward's append may yet land and be read here.
+            # An append by a coordinator may yet succeed and be read here.
             await pending.settled.wait()
             return pending.verdict
         return verdict
@@ -146,9 +146,12 @@
     async def _send(
         self, steward: HostId, partition: Partition, pending: Pending
     ) -> Verdict | None:
-        """Return the steward's verdict, or None; stop once the tail tells."""
+        """Return the coordinator's verdict, or None if it did not answer.
+
+        Stops early if this host reads the entry in the stream.
+        """
         sent_before = pending.in_doubt
-        # From here on the steward may append it, whatever it answers.
+        # From here on the coordinator may append it, whatever it replies.
         pending.in_doubt = True
         courier = self._courier(steward, partition.number)
         verdict = None
--- a/agatetack/claims/steward.py
+++ b/agatetack/claims/steward.py
@@ -1,4 +1,4 @@
-"""Serve the other hosts: append their entries and answer their questions."""
+"""Handle calls of other hosts: append entries and answer questions."""
 
 import trio
 
@@ -20,7 +20,7 @@
 
 
 class Steward:
-    """Answers the calls of other hosts about claims."""
+    """Handles the calls of other hosts about claims."""
 
     def __init__(
         self,
@@ -28,17 +28,17 @@
         partitions: list[Partition],
         inquiries: Inquiries,
     ):
-        """Append to `partitions`."""
+        """Append to `partitions`, and answer questions by `inquiries`."""
         self.settings = settings
         self.partitions = partitions
         self.inquiries = inquiries
 
     def serve(self, exchange: Exchange) -> None:
-        """Take the calls that come by `exchange`."""
+        """Register for the calls that arrive by `exchange`."""
         exchange.serve(Topic.CLAIM_BATCH, self.handle)
 
     async def handle(self, sender: HostId, payload: bytes) -> bytes:
-        """Return the reply to one call; a bad one gets no verdicts."""
+        """Return the reply to one call; a malformed one gets no verdicts."""
         try:
             verdicts = await self._handle(codec.decode(Call, payload))
         except codec.BadMessage:
@@ -50,15 +50,15 @@
             return self.inquiries.answer(call.inquiry)
         if call.submission is not None:
             return await self._submit(call.submission)
-        raise codec.BadMessage("a call that asks for nothing")
+        raise codec.BadMessage("call has neither an inquiry nor a submission")
 
     async def _submit(self, submission: Submission) -> list[Verdict]:
         entries = submission.entries or []
         if len(entries) > self.settings.claims.max_batch:
-            raise codec.BadMessage("a submission of too many entries")
+            raise codec.BadMessage("submission has too many entries")
         number = submission.partition or 0
         if not 0 <= number < len(self.partitions):
-            raise codec.BadMessage("a submission to no partition")
+            raise codec.BadMessage("submission has an unknown partition")
         for entry in entries:
             codec.check_entry(entry)
         seconds = (submission.time_left_ms or 0) / MS
--- a/agatetack/claims/store.py
+++ b/agatetack/claims/store.py
@@ -1,4 +1,4 @@
-"""Define how a never-repeated request gets leave to run."""
+"""Define the interface that permits at-most-once requests to run."""
 
 import abc
 import dataclasses
@@ -13,7 +13,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Claim:
-    """Leave to dispatch one request once.
+    """Permission to dispatch one request once.
 
     Attributes:
         route: The request's route.
@@ -27,24 +27,24 @@
 
 
 class ClaimStore(abc.ABC):
-    """Who may run which never-repeated request; decided by the log's order."""
+    """Decides which attempt of an at-most-once request may run."""
 
     @abc.abstractmethod
     async def claim(
         self, route: Route, request: CallerRequest, attempt: AttemptId
     ) -> Result[Claim, Refusal]:
-        """Return leave to dispatch, or why the request is refused.
+        """Return permission to dispatch, or why the request is refused.
 
-        The refusal's outcome is "not run" only if no attempt of the same key
-        can have run or can still run.
+        The refusal's outcome is "not run" only if no attempt with the same
+        key can have run or can still run.
         """
 
     @abc.abstractmethod
     async def finish(self, claim: Claim, status: int) -> None:
         """Record that the request ran and was answered with `status`.
 
-        Keeps trying in the background; a failure leaves the key claimed, so
-        that later attempts are answered "unknown".
+        Retries in the background. If all tries fail, the key stays claimed
+        and later attempts are answered "unknown".
         """
 
     @abc.abstractmethod
@@ -52,6 +52,6 @@
         """Record that the request was never dispatched.
 
         Returns:
-            Whether the release is known to stand in the log. If it is, a
-            refusal may say "not run"; the caller may use the key again.
+            Whether the release is known to be in the log. If so, a refusal
+            may say "not run", and the caller may use the key again.
         """
--- a/agatetack/claims/test_chaos.py
+++ b/agatetack/claims/test_chaos.py
@@ -1,4 +1,4 @@
-"""Test a whole fleet under random faults: never twice, never a false word."""
+"""Test a fleet under random faults: no second run, no false "not run"."""
 
 import dataclasses
 import random
@@ -22,11 +22,11 @@
 
 @dataclasses.dataclass(slots=True)
 class KeyHistory:
-    """What became of one key.
+    """The runs and refusals of one key.
 
     Attributes:
-        runs: When the requests that ran had arrived.
-        not_run: When a caller was told "not run".
+        runs: Arrival times of the requests that ran.
+        not_run: Times at which callers were answered "not run".
     """
 
     runs: list[float] = dataclasses.field(default_factory=list)
@@ -34,7 +34,7 @@
 
 
 class LossyMesh(MemoryMesh):
-    """A mesh whose dead hosts are listed for a while and hear nothing."""
+    """A mesh that counts dead hosts for a while but does not link them."""
 
     def __init__(self, nursery):
         super().__init__(nursery)
@@ -46,7 +46,7 @@
 
 
 class Chaos:
-    """Callers that send keys again, and faults, on one fleet."""
+    """Callers that resend keys to one fleet, and random faults in it."""
 
     def __init__(self, nursery, seed):
         self.fleet = ClaimFleet(nursery, key_window_seconds=60)
@@ -71,7 +71,7 @@
         self.lives[number].discard(scope)
 
     async def serve(self, store, key, body):
-        """Do what a host does with a request."""
+        """Handle a request as a host does."""
         history = self.histories[key]
         arrived = trio.current_time()
         result = await self.fleet.claim(store, key, body=body, seconds=2.0)
@@ -98,7 +98,7 @@
             await trio.sleep(self.random.choice([0, 0.001, 0.1, 0.5, 3]))
 
     async def break_things(self):
-        """Cause one fault after the other, and sometimes two at once."""
+        """Inject one fault after the other, and sometimes two at once."""
         while True:
             await trio.sleep(self.random.uniform(0, 0.4))
             fault = self.random.choice(
@@ -131,7 +131,7 @@
         self.mesh.cut.clear()
 
     async def kill(self):
-        """Replace a host; the list still names it for a second."""
+        """Replace a host, which is still counted for a second."""
         number = self.random.randrange(len(self.stores))
         name = HostId(self.stores[number].settings.host.id)
         if name in self.mesh.dead:
@@ -165,6 +165,6 @@
     for key, history in chaos.histories.items():
         for said in history.not_run:
             assert not [at for at in history.runs if at <= said], key
-    # The faults must leave something to judge.
+    # Enough requests must have run and been refused despite the faults.
     assert sum(len(history.runs) for history in histories) > KEYS / 4
     assert sum(len(history.not_run) for history in histories) > KEYS / 30
--- a/agatetack/claims/test_fold.py
+++ b/agatetack/claims/test_fold.py
@@ -1,4 +1,4 @@
-"""Test the fold with any order, repetition and loss of records."""
+"""Test the fold with reordered, repeated and lost records."""
 
 import dataclasses
 import enum
@@ -90,7 +90,7 @@
 
 
 def test_many_done_keys():
-    """Tables that fill, grow and expire give back what was put in."""
+    """Tables that fill, grow and expire return the keys that were added."""
     done = DoneKeys(max_keys=16_000, span_ms=MINUTE_MS)
     keys = [n.to_bytes(2, "big") * 8 for n in range(1, 3001)]
     for number, key in enumerate(keys):
@@ -101,7 +101,7 @@
     assert done.find(keys[0]).differs(b"g" * 16)
     assert not done.find(keys[0]).differs(b"f" * 16)
     due = done.due(before_ms=0, expires_ms=100_000, limit=2000)
-    # The first key expires before, the others within the second minute.
+    # The first key expires too early, the others in the second minute.
     assert {key.key for key in due} == set(keys[1:600])
     for key in keys[:600]:
         done.rewrite(key, 300_000)
@@ -109,13 +109,13 @@
     assert len(done) == 3000
     assert all(done.find(key).key == key for key in keys)
     done.forget(200_000)
-    # Keys expire by generation, whenever they were written last.
+    # Keys expire by generation, no matter when they were last written.
     found = [bool(done.find(key)) for key in keys]
     assert found == [False] * 1200 + [True] * 1800
 
 
 class Stage(enum.Enum):
-    """How far an attempt has come at its host."""
+    """The progress of an attempt on its host."""
 
     OPEN = 1
     GRANTED = 2
@@ -125,7 +125,7 @@
 
 @dataclasses.dataclass
 class Attempt:
-    """One attempt; its claim may land any number of times, at any time."""
+    """An attempt whose claim may be appended at any time and repeatedly."""
 
     entry: Entry
     arrived: int
@@ -147,7 +147,7 @@
 
 
 class ClaimMachine(RuleBasedStateMachine):
-    """Hosts that pause, repeat and give up, on one log."""
+    """Model of hosts on one log that pause, resend entries and give up."""
 
     attempts = Bundle("attempts")
     keeps = Bundle("keeps")
@@ -256,7 +256,7 @@
 
     @invariant()
     def a_late_reader_frees_nothing(self):
-        """Whatever of a held key is still kept is enough to block it."""
+        """Any retained keep or done record of a used key blocks it."""
         for start in range(1, len(self.records)):
             late = fold_records(self.records, start)
             for key, state in self.fold.keys.items():
@@ -267,7 +267,7 @@
                     assert late.look(key, None).kind == VerdictKind.DONE
 
     def is_done(self, key, start):
-        """Return whether a done entry of `key` is kept from `start` on."""
+        """Return whether a done entry of `key` is retained from `start`."""
         return any(
             entry.key == key and entry.kind == EntryKind.DONE
             for record in self.records[start:]
@@ -275,7 +275,7 @@
         )
 
     def is_kept(self, key, state, start):
-        """Return whether a record of the holder is kept from `start` on."""
+        """Return whether a record of the holder is retained from `start`."""
         kinds = (EntryKind.KEEP, EntryKind.DONE)
         return any(
             entry.key == key
--- a/agatetack/claims/test_kept_alive.py
+++ b/agatetack/claims/test_kept_alive.py
@@ -1,4 +1,4 @@
-"""Test that keys are written again in time, however short hosts live."""
+"""Test that keys are re-appended in time, however briefly hosts run."""
 
 import pytest
 import trio
@@ -31,7 +31,7 @@
 
 
 async def use_keys(fleet):
-    """Have one key done and one held, and lose the host that knows them."""
+    """Finish one key, hold another, and stop the host that did so."""
     store = await fleet.add()
     await store.finish((await fleet.claim(store, key="done")).unwrap(), 201)
     await fleet.claim(store, key="held")
@@ -40,14 +40,15 @@
 
 
 async def assert_known(fleet):
-    """Check that no key is taken for new by a host that starts now."""
+    """Check that a host that starts now knows that the keys were used."""
     store = await fleet.add()
     for key in ("done", "held"):
         assert not isinstance(await fleet.claim(store, key=key), Success)
     assert isinstance(await fleet.claim(store, key="other"), Success)
 
 
-# Guards against a second run of a key that no host lived to write again.
+# Guards against a second run of a key when each host runs too briefly to
+# re-append it on schedule.
 @pytest.mark.parametrize("hosts", [1, 8])
 @pytest.mark.parametrize("live_seconds", [0.3, 0.9, 1.1, 5, 20])
 async def test_keys_outlive_all_hosts(
@@ -66,7 +67,8 @@
     await assert_known(fleet)
 
 
-# Guards against a second run of a key after all hosts were lost at once.
+# Guards against a second run of a key when all hosts were lost and new ones
+# start shortly before retention drops its records.
 @pytest.mark.parametrize("hosts", [1, 8])
 @pytest.mark.parametrize("left_seconds", [0.3, 0.8, 1.2, 5, 20])
 async def test_keys_outlive_the_loss_of_all_hosts(
@@ -81,7 +83,7 @@
     await assert_known(fleet)
 
 
-# Guards against a second run of a key that could not be written before an
+# Guards against a second run of a key that could not be re-appended until an
 # outage of the log ended.
 @pytest.mark.parametrize("left_seconds", [0.4, 1, 3])
 @pytest.mark.parametrize("seconds", [2, 10, 24])
--- a/agatetack/claims/test_log_store.py
+++ b/agatetack/claims/test_log_store.py
@@ -1,4 +1,4 @@
-"""Test claims against faults of the log, the peers and the host."""
+"""Test claims under faults of the log, the peers and the host."""
 
 import dataclasses
 
@@ -84,7 +84,7 @@
     ],
 )
 async def test_append_faults(autojump_clock, fleet, hosts, faults, wanted):
-    """Whatever the log does to appends, a key runs at most once."""
+    """A key runs at most once, whichever faults its appends meet."""
     stores = [await fleet.add() for _ in range(hosts)]
     for client in fleet.clients:
         client.faults.next_appends = list(faults)
@@ -138,7 +138,7 @@
     """Refuse as "not run" only what no host can have run."""
     asker, other = [await fleet.add() for _ in range(2)]
     if earlier == "open":
-        # The other host's claim is on its way; nothing is in the log yet.
+        # The other host's claim is pending; nothing is in the log yet.
         fleet.clients[1].faults.frozen = True
         fleet.mesh.cut |= {(HostId("h1"), HostId("h0"))}
         fleet.nursery.start_soon(fleet.claim, other)
@@ -171,14 +171,14 @@
     assert refused.failure().outcome is Outcome.NOT_RUN
     fleet.log.faults.outage = False
     await trio.sleep(1)
-    # It was read before the other host said that the key never ran.
+    # It arrived before the other host answered that the key was unused.
     late = await fleet.claim(other, age=1.1)
     assert outcome_of(late) == ("claim-in-doubt", Outcome.UNKNOWN)
     assert isinstance(await fleet.claim(other), Success)
 
 
 async def test_release_bars_requests_that_came_before_it(autojump_clock, fleet):
-    """A paused host must not run what another called "not run"."""
+    """A paused host must not run what another answered as "not run"."""
     first, paused = [await fleet.add() for _ in range(2)]
     claim = (await fleet.claim(first)).unwrap()
     assert await first.release(claim)
@@ -212,7 +212,7 @@
 
 
 async def test_paused_holder_does_not_run_late(autojump_clock, fleet):
-    """A wall clock that ran on while trio's stood still is enough."""
+    """A deadline that passed on the wall clock alone refuses the claim."""
     store = await fleet.add()
     fleet.log.faults.delay_seconds = 0.1
 
