--- a/agatetack/claims/steward.py
+++ b/agatetack/claims/call_handler.py
@@ -19,7 +19,7 @@
 """Milliseconds in a second."""
 
 
-class Steward:
+class ClaimCallHandler:
     """Handles the calls of other hosts about claims."""
 
     def __init__(
--- a/agatetack/claims/courier.py
+++ b/agatetack/claims/courier.py
@@ -58,14 +58,14 @@
         settings: Settings,
         exchange: Exchange,
         background: Background,
-        steward: HostId,
+        coordinator: HostId,
         partition: int,
     ):
-        """Call the host `steward`; calls run in `background`."""
+        """Call the host `coordinator`; calls run in `background`."""
         self.settings = settings
         self.exchange = exchange
         self.background = background
-        self.steward = steward
+        self.coordinator = coordinator
         self.partition = partition
         self.queue: collections.deque[Parcel] = collections.deque()
         self.calls = 0
@@ -124,7 +124,10 @@
         deadline = Deadline(trio.current_time() + timeout)
         try:
             payload = await self.exchange.call(
-                self.steward, Topic.CLAIM_BATCH, codec.encode(call), deadline
+                self.coordinator,
+                Topic.CLAIM_BATCH,
+                codec.encode(call),
+                deadline,
             )
             verdicts = codec.decode(Reply, payload).verdicts
             codec.check_verdicts(verdicts, len(parcels))
--- a/agatetack/claims/log_store.py
+++ b/agatetack/claims/log_store.py
@@ -7,6 +7,7 @@
 
 from agatetack.claims import refusals
 from agatetack.claims.background import Background
+from agatetack.claims.call_handler import ClaimCallHandler
 from agatetack.claims.fold import MS
 from agatetack.claims.inquiry import Inquiries
 from agatetack.claims.keeper import Keeper
@@ -16,7 +17,6 @@
 from agatetack.claims.partition import Partition
 from agatetack.claims.recorder import Recorder
 from agatetack.claims.router import Router
-from agatetack.claims.steward import Steward
 from agatetack.claims.store import Claim, ClaimStore
 from agatetack.clock import Clock, deadline_to_wall
 from agatetack.config.route import Route
@@ -89,8 +89,10 @@
             settings, self.router, metrics, self.background
         )
         self.keeper = Keeper(settings, self.router, metrics)
-        self.steward = Steward(settings, self.partitions, self.inquiries)
-        self.steward.serve(exchange)
+        self.call_handler = ClaimCallHandler(
+            settings, self.partitions, self.inquiries
+        )
+        self.call_handler.serve(exchange)
         self.verdicts = metrics.counter(
             "agatetack_claims_total", "Claims that were judged, by verdict."
         )
--- a/agatetack/claims/router.py
+++ b/agatetack/claims/router.py
@@ -27,7 +27,7 @@
 class CourierId:
     """The coordinator that a client calls, and for which partition."""
 
-    steward: HostId
+    coordinator: HostId
     partition: int
 
 
@@ -67,24 +67,24 @@
         claims = self.settings.claims
         share = claims.fleet_appends_per_second / claims.partitions
         fleet = max(1, self.exchange.fleet_size())
-        if self.steward(number) is not None:
+        if self.coordinator(number) is not None:
             return share / fleet
         seen = len(self.exchange.live_peers()) + 1
         return share * min(1.0, seen / fleet)
 
-    def steward(self, number: int) -> HostId | None:
+    def coordinator(self, number: int) -> HostId | None:
         """Return the coordinator of a partition, or None for this host."""
         now = trio.current_time()
         best = self._rank(HostId(self.settings.host.id), number)
-        steward = None
+        coordinator = None
         for peer in self.exchange.live_peers():
             if peer.leaving or self.avoided.get(peer.id, -math.inf) > now:
                 continue
             rank = self._rank(peer.id, number)
             if rank > best:
                 best = rank
-                steward = peer.id
-        return steward
+                coordinator = peer.id
+        return coordinator
 
     def place(self, number: int) -> int:
         """Return how many live hosts are ranked before this one."""
@@ -120,15 +120,15 @@
         self, partition: Partition, pending: Pending, deadline: Deadline
     ) -> Verdict:
         while pending.verdict is None:
-            steward = self.steward(partition.number)
-            if steward is None:
+            coordinator = self.coordinator(partition.number)
+            if coordinator is None:
                 return await self._append_here(partition, pending, deadline)
-            verdict = await self._send(steward, partition, pending)
+            verdict = await self._send(coordinator, partition, pending)
             if verdict is None:
-                self._avoid(steward, "no-answer")
+                self._avoid(coordinator, "no-answer")
             elif verdict.kind in USELESS:
                 name = VerdictKind._VALUES_TO_NAMES[verdict.kind]
-                self._avoid(steward, name)
+                self._avoid(coordinator, name)
             elif verdict.kind != VerdictKind.IN_DOUBT:
                 return verdict
         return pending.verdict
@@ -144,7 +144,7 @@
         return verdict
 
     async def _send(
-        self, steward: HostId, partition: Partition, pending: Pending
+        self, coordinator: HostId, partition: Partition, pending: Pending
     ) -> Verdict | None:
         """Return the coordinator's verdict, or None if it did not answer.
 
@@ -153,7 +153,7 @@
         sent_before = pending.in_doubt
         # From here on the coordinator may append it, whatever it replies.
         pending.in_doubt = True
-        courier = self._courier(steward, partition.number)
+        courier = self._courier(coordinator, partition.number)
         verdict = None
         async with trio.open_nursery() as nursery:
             nursery.start_soon(
@@ -165,22 +165,22 @@
             pending.in_doubt = sent_before
         return pending.verdict or verdict
 
-    def _courier(self, steward: HostId, number: int) -> Courier:
-        name = CourierId(steward, number)
+    def _courier(self, coordinator: HostId, number: int) -> Courier:
+        name = CourierId(coordinator, number)
         if name not in self.couriers:
             self.couriers[name] = Courier(
                 self.settings,
                 self.exchange,
                 self.background,
-                steward,
+                coordinator,
                 number,
             )
         return self.couriers[name]
 
-    def _avoid(self, steward: HostId, reason: str) -> None:
+    def _avoid(self, coordinator: HostId, reason: str) -> None:
         self.fallbacks.inc({"reason": reason.lower().replace("_", "-")})
         until = Deadline(trio.current_time() + AVOID_SECONDS)
-        self.avoided[steward] = until
+        self.avoided[coordinator] = until
 
 
 async def _cancel_when_settled(
--- a/agatetack/claims/test_log_store.py
+++ b/agatetack/claims/test_log_store.py
@@ -225,12 +225,12 @@
     assert outcome_of(result) == ("claim-in-doubt", Outcome.UNKNOWN)
 
 
-@pytest.mark.parametrize("pause", ["steward", "mesh"])
-async def test_claims_go_on_without_steward(autojump_clock, fleet, pause):
+@pytest.mark.parametrize("pause", ["coordinator", "mesh"])
+async def test_claims_go_on_without_coordinator(autojump_clock, fleet, pause):
     stores = [await fleet.add() for _ in range(3)]
-    steward = stores[0].router.steward(0) or HostId("h0")
+    coordinator = stores[0].router.coordinator(0) or HostId("h0")
     for host in fleet.mesh.hosts:
-        if pause == "mesh" or host == steward:
+        if pause == "mesh" or host == coordinator:
             fleet.mesh.cut |= {
                 (other, host) for other in fleet.mesh.hosts if other != host
             }
@@ -353,6 +353,6 @@
     fleet.log.store(store.partitions[0].stream, b"\xff\x00junk")
     await trio.sleep(0.1)
     for payload in (b"", b"\xff" * 50, b"\x1c\x1c"):
-        assert await store.steward.handle(HostId("x"), payload)
+        assert await store.call_handler.handle(HostId("x"), payload)
     claim = (await fleet.claim(store)).unwrap()
     assert dataclasses.is_dataclass(claim)
