--- a/agatetack/claims/appender.py
+++ b/agatetack/claims/appender.py
@@ -35,7 +35,7 @@
 LAZY_KINDS = frozenset((EntryKind.DONE, EntryKind.KEEP))
 """Entries that no response to a caller depends on."""
 
-LAZY_SECONDS = 0.05
+MAX_LAZY_WAIT_SECONDS = 0.05
 """Longest time that such entries wait to be batched with others."""
 
 
@@ -131,7 +131,7 @@
         pending.queued = True
         if pending.lazy:
             self.lazy.append(pending)
-            due = trio.current_time() + LAZY_SECONDS
+            due = trio.current_time() + MAX_LAZY_WAIT_SECONDS
             self.lazy_at = min(self.lazy_at, due)
         else:
             self.urgent.append(pending)
--- a/agatetack/claims/courier.py
+++ b/agatetack/claims/coordinator_client.py
@@ -6,7 +6,7 @@
 import trio
 
 from agatetack.claims import codec
-from agatetack.claims.appender import LAZY_KINDS, LAZY_SECONDS
+from agatetack.claims.appender import LAZY_KINDS, MAX_LAZY_WAIT_SECONDS
 from agatetack.claims.background import Background
 from agatetack.generated.claims.ttypes import (
     Call,
@@ -22,7 +22,7 @@
 MAX_CALLS = 8
 """Most calls to one coordinator that await replies at the same time."""
 
-REPLY_SHARE = 0.8
+REPLY_TIME_RATIO = 0.8
 """Share of a call's timeout within which the coordinator must reply."""
 
 MS = 1000
@@ -30,7 +30,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Parcel:
+class PendingEntry:
     """An entry that is sent to a coordinator.
 
     Attributes:
@@ -46,7 +46,7 @@
     wanted: bool = True
 
 
-class Courier:
+class CoordinatorClient:
     """Calls one coordinator about one partition.
 
     A call starts at once while fewer than `MAX_CALLS` are in progress;
@@ -67,23 +67,23 @@
         self.background = background
         self.coordinator = coordinator
         self.partition = partition
-        self.queue: collections.deque[Parcel] = collections.deque()
+        self.queue: collections.deque[PendingEntry] = collections.deque()
         self.calls = 0
         self.lazy_due = False
 
     async def send(self, entry: Entry) -> Verdict | None:
         """Return the coordinator's verdict, or None if it did not answer."""
-        parcel = Parcel(entry)
-        self.queue.append(parcel)
+        pending = PendingEntry(entry)
+        self.queue.append(pending)
         if entry.kind in LAZY_KINDS:
             self._start_later()
         else:
             self._start()
         try:
-            await parcel.returned.wait()
+            await pending.returned.wait()
         finally:
-            parcel.wanted = False
-        return parcel.verdict
+            pending.wanted = False
+        return pending.verdict
 
     def _start(self) -> None:
         if self.calls < MAX_CALLS:
@@ -97,7 +97,7 @@
             self.background.start(self._start_lazy)
 
     async def _start_lazy(self) -> None:
-        await trio.sleep(LAZY_SECONDS)
+        await trio.sleep(MAX_LAZY_WAIT_SECONDS)
         self.lazy_due = False
         if self.queue:
             self._start()
@@ -110,15 +110,15 @@
             self.calls -= 1
 
     async def _call(self) -> None:
-        parcels = self._next_parcels()
-        if not parcels:
+        batch = self._next_batch()
+        if not batch:
             return
         timeout = self.settings.claims.steward_timeout_seconds
         call = Call(
             submission=Submission(
                 partition=self.partition,
-                entries=[parcel.entry for parcel in parcels],
-                time_left_ms=int(timeout * REPLY_SHARE * MS),
+                entries=[pending.entry for pending in batch],
+                time_left_ms=int(timeout * REPLY_TIME_RATIO * MS),
             )
         )
         deadline = Deadline(trio.current_time() + timeout)
@@ -130,17 +130,17 @@
                 deadline,
             )
             verdicts = codec.decode(Reply, payload).verdicts
-            codec.check_verdicts(verdicts, len(parcels))
+            codec.check_verdicts(verdicts, len(batch))
         except (PeerUnreachable, codec.BadMessage):
-            verdicts = [None] * len(parcels)
-        for parcel, verdict in zip(parcels, verdicts, strict=True):
-            parcel.verdict = verdict
-            parcel.returned.set()
-
-    def _next_parcels(self) -> list[Parcel]:
-        parcels: list[Parcel] = []
-        while self.queue and len(parcels) < self.settings.claims.max_batch:
-            parcel = self.queue.popleft()
-            if parcel.wanted:
-                parcels.append(parcel)
-        return parcels
+            verdicts = [None] * len(batch)
+        for pending, verdict in zip(batch, verdicts, strict=True):
+            pending.verdict = verdict
+            pending.returned.set()
+
+    def _next_batch(self) -> list[PendingEntry]:
+        batch: list[PendingEntry] = []
+        while self.queue and len(batch) < self.settings.claims.max_batch:
+            pending = self.queue.popleft()
+            if pending.wanted:
+                batch.append(pending)
+        return batch
--- a/agatetack/claims/router.py
+++ b/agatetack/claims/router.py
@@ -8,7 +8,7 @@
 
 from agatetack.claims.appender import Pending
 from agatetack.claims.background import Background
-from agatetack.claims.courier import Courier
+from agatetack.claims.coordinator_client import CoordinatorClient
 from agatetack.claims.partition import Partition
 from agatetack.generated.claims.ttypes import Entry, Verdict, VerdictKind
 from agatetack.ids import Deadline, HostId
@@ -24,7 +24,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class CourierId:
+class CoordinatorClientId:
     """The coordinator that a client calls, and for which partition."""
 
     coordinator: HostId
@@ -51,7 +51,7 @@
         self.settings = settings
         self.exchange = exchange
         self.background = background
-        self.couriers: dict[CourierId, Courier] = {}
+        self.clients: dict[CoordinatorClientId, CoordinatorClient] = {}
         self.avoided: dict[HostId, Deadline] = {}
         self.fallbacks = metrics.counter(
             "agatetack_claims_fallback_total",
@@ -153,29 +153,29 @@
         sent_before = pending.in_doubt
         # From here on the coordinator may append it, whatever it replies.
         pending.in_doubt = True
-        courier = self._courier(coordinator, partition.number)
+        client = self._client(coordinator, partition.number)
         verdict = None
         async with trio.open_nursery() as nursery:
             nursery.start_soon(
                 _cancel_when_settled, pending, nursery.cancel_scope
             )
-            verdict = await courier.send(pending.entry)
+            verdict = await client.send(pending.entry)
             nursery.cancel_scope.cancel()
         if verdict is not None and verdict.kind in USELESS:
             pending.in_doubt = sent_before
         return pending.verdict or verdict
 
-    def _courier(self, coordinator: HostId, number: int) -> Courier:
-        name = CourierId(coordinator, number)
-        if name not in self.couriers:
-            self.couriers[name] = Courier(
+    def _client(self, coordinator: HostId, number: int) -> CoordinatorClient:
+        name = CoordinatorClientId(coordinator, number)
+        if name not in self.clients:
+            self.clients[name] = CoordinatorClient(
                 self.settings,
                 self.exchange,
                 self.background,
                 coordinator,
                 number,
             )
-        return self.couriers[name]
+        return self.clients[name]
 
     def _avoid(self, coordinator: HostId, reason: str) -> None:
         self.fallbacks.inc({"reason": reason.lower().replace("_", "-")})
