--- a/agatetack/claims/fold.py
+++ b/agatetack/claims/fold.py
@@ -71,7 +71,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class KeyTime:
+class KeyWrite:
     """When a record of a key was written, by the log's clock."""
 
     at_ms: int
@@ -108,7 +108,7 @@
         self.done = DoneKeys(max_keys, self.dated_keep_ms // 4)
         self.undated = DoneKeys(max_keys, int(retention_ms * UNDATED_SPAN))
         self.expiries: dict[int, set[bytes]] = {}
-        self.written: collections.deque[KeyTime] = collections.deque()
+        self.written: collections.deque[KeyWrite] = collections.deque()
 
     def start(self, offset: LogOffset) -> None:
         """Continue at `offset`, as the records before it were dropped."""
@@ -268,7 +268,7 @@
         """Record that an entry of a held key was written at `at_ms`."""
         state.written_ms = at_ms
         if not state.dated:
-            self.written.append(KeyTime(at_ms, key))
+            self.written.append(KeyWrite(at_ms, key))
 
     def expires_ms(self, state: KeyState) -> int:
         """Return when `state` expires, by the log's clock."""
--- a/agatetack/claims/log_store.py
+++ b/agatetack/claims/log_store.py
@@ -10,11 +10,11 @@
 from agatetack.claims.call_handler import ClaimCallHandler
 from agatetack.claims.fold import MS
 from agatetack.claims.inquiry import Inquiries
-from agatetack.claims.keeper import Keeper
 from agatetack.claims.key import RequestKey, attempt_digest, read_key
 from agatetack.claims.open_keys import OpenKeys
 from agatetack.claims.pace import Pace
 from agatetack.claims.partition import Partition
+from agatetack.claims.reappender import Reappender
 from agatetack.claims.recorder import Recorder
 from agatetack.claims.router import Router
 from agatetack.claims.store import Claim, ClaimStore
@@ -88,7 +88,7 @@
         self.recorder = Recorder(
             settings, self.router, metrics, self.background
         )
-        self.keeper = Keeper(settings, self.router, metrics)
+        self.reappender = Reappender(settings, self.router, metrics)
         self.call_handler = ClaimCallHandler(
             settings, self.partitions, self.inquiries
         )
@@ -112,7 +112,7 @@
             await nursery.start(self.background.run)
             for partition in self.partitions:
                 nursery.start_soon(partition.run)
-                nursery.start_soon(self.keeper.run, partition)
+                nursery.start_soon(self.reappender.run, partition)
             nursery.start_soon(self._keep_house)
             task_status.started()
 
--- a/agatetack/claims/keeper.py
+++ b/agatetack/claims/reappender.py
@@ -4,7 +4,7 @@
 
 from agatetack.claims.codec import DIGEST_BYTES
 from agatetack.claims.done_keys import DoneKey
-from agatetack.claims.fold import MS, KeyState, KeyTime
+from agatetack.claims.fold import MS, KeyState, KeyWrite
 from agatetack.claims.partition import Partition
 from agatetack.claims.router import Router
 from agatetack.generated.claims.ttypes import Entry, EntryKind
@@ -12,20 +12,20 @@
 from agatetack.metrics import Metrics
 from agatetack.settings.model import Settings
 
-PASS_SECONDS = 1.0
+CHECK_PAUSE_SECONDS = 1.0
 """Pause between two checks for due keys."""
 
-FIRST_SHARE = 0.5
+FIRST_HOST_WAIT_RATIO = 0.5
 """Share of the retention after which the first host re-appends a key."""
 
-NEXT_SHARE = 0.05
+NEXT_HOST_WAIT_RATIO = 0.05
 """Share of the retention by which each further host waits longer."""
 
-LAST_PLACE = 6
+MAX_RANK = 6
 """Hosts from this rank on wait equally long."""
 
 
-class Keeper:
+class Reappender:
     """Re-appends undated keys; dated keys expire before their retention ends.
 
     The coordinator of a partition comes first. Another host finds a key due
@@ -39,7 +39,7 @@
         self.settings = settings
         self.router = router
         self.retention_ms = int(settings.platform.log.retention_seconds * MS)
-        self.kept = metrics.counter(
+        self.reappended = metrics.counter(
             "agatetack_claims_kept_total", "Keys written again."
         )
 
@@ -49,32 +49,34 @@
         Runs every second, and at once when the stream is read to its end
         after a gap.
         """
-        place = 0
+        rank = 0
         while True:
             resumed = partition.reading.resumed
             if partition.ready:
-                await self._write_due(partition, place)
-            with trio.move_on_after(PASS_SECONDS) as pass_over:
+                await self._reappend_due(partition, rank)
+            with trio.move_on_after(CHECK_PAUSE_SECONDS) as pause:
                 await resumed.wait()
-            place = 0
-            if pass_over.cancelled_caught:
-                place = min(self.router.place(partition.number), LAST_PLACE)
+            rank = 0
+            if pause.cancelled_caught:
+                rank = min(self.router.rank(partition.number), MAX_RANK)
 
-    async def _write_due(self, partition: Partition, place: int) -> None:
-        """Re-append the keys that are due at rank `place`, oldest first."""
+    async def _reappend_due(self, partition: Partition, rank: int) -> None:
+        """Re-append the keys that are due at the given rank, oldest first."""
         oldest = None
-        entries = self._due_entries(partition, place)
-        # A key whose append failed stays first; the next pass retries it.
+        entries = self._due_entries(partition, rank)
+        # A key whose append failed stays first and is retried next time.
         while entries and entries[0].key != oldest:
             oldest = entries[0].key
             timeout = self.settings.platform.log.timeout_seconds
             deadline = Deadline(trio.current_time() + timeout)
             await partition.submit(entries, deadline)
-            self.kept.add({}, len(entries))
-            entries = self._due_entries(partition, place)
+            self.reappended.add({}, len(entries))
+            entries = self._due_entries(partition, rank)
 
-    def _due_entries(self, partition: Partition, place: int) -> list[Entry]:
-        wait_ms = self.retention_ms * (FIRST_SHARE + NEXT_SHARE * place)
+    def _due_entries(self, partition: Partition, rank: int) -> list[Entry]:
+        wait_ms = self.retention_ms * (
+            FIRST_HOST_WAIT_RATIO + NEXT_HOST_WAIT_RATIO * rank
+        )
         due_ms = partition.log_ms() - wait_ms
         limit = self.settings.claims.max_batch
         entries = self._due_held(partition, due_ms)[:limit]
@@ -91,12 +93,12 @@
     def _due_held(self, partition: Partition, due_ms: float) -> list[Entry]:
         self._drop_outdated(partition)
         entries: list[Entry] = []
-        for item in partition.fold.written:
-            if item.at_ms > due_ms:
+        for write in partition.fold.written:
+            if write.at_ms > due_ms:
                 break
-            if self._is_needed(partition, item):
-                state = partition.fold.keys[item.key]
-                entries.append(keep_entry(item.key, state))
+            if self._is_needed(partition, write):
+                state = partition.fold.keys[write.key]
+                entries.append(keep_entry(write.key, state))
         return entries
 
     def _drop_outdated(self, partition: Partition) -> None:
@@ -104,14 +106,14 @@
         while written and not self._is_needed(partition, written[0]):
             written.popleft()
 
-    def _is_needed(self, partition: Partition, item: KeyTime) -> bool:
-        """Return whether `item` is the key's newest record and still needed."""
-        state = partition.fold.keys.get(item.key)
+    def _is_needed(self, partition: Partition, write: KeyWrite) -> bool:
+        """Return whether `write` is the key's newest record and needed."""
+        state = partition.fold.keys.get(write.key)
         if state is None or state.attempt is None:
             return False
         dropped_ms = state.written_ms + self.retention_ms
         return (
-            state.written_ms == item.at_ms
+            state.written_ms == write.at_ms
             and partition.fold.expires_ms(state) > dropped_ms
         )
 
--- a/agatetack/claims/router.py
+++ b/agatetack/claims/router.py
@@ -75,26 +75,26 @@
     def coordinator(self, number: int) -> HostId | None:
         """Return the coordinator of a partition, or None for this host."""
         now = trio.current_time()
-        best = self._rank(HostId(self.settings.host.id), number)
+        best = self._score(HostId(self.settings.host.id), number)
         coordinator = None
         for peer in self.exchange.live_peers():
             if peer.leaving or self.avoided.get(peer.id, -math.inf) > now:
                 continue
-            rank = self._rank(peer.id, number)
-            if rank > best:
-                best = rank
+            score = self._score(peer.id, number)
+            if score > best:
+                best = score
                 coordinator = peer.id
         return coordinator
 
-    def place(self, number: int) -> int:
+    def rank(self, number: int) -> int:
         """Return how many live hosts are ranked before this one."""
-        own = self._rank(HostId(self.settings.host.id), number)
+        own = self._score(HostId(self.settings.host.id), number)
         return sum(
-            self._rank(peer.id, number) > own
+            self._score(peer.id, number) > own
             for peer in self.exchange.live_peers()
         )
 
-    def _rank(self, host: HostId, number: int) -> int:
+    def _score(self, host: HostId, number: int) -> int:
         return xxhash.xxh64_intdigest(f"{number}/{host}".encode())
 
     async def submit(
--- a/agatetack/claims/test_fold.py
+++ b/agatetack/claims/test_fold.py
@@ -17,7 +17,7 @@
 
 from agatetack.claims.done_keys import MINUTE_MS, DoneKey, DoneKeys
 from agatetack.claims.fold import Fold
-from agatetack.claims.keeper import keep_entry
+from agatetack.claims.reappender import keep_entry
 from agatetack.generated.claims.ttypes import Entry, EntryKind, VerdictKind
 from agatetack.ids import LogOffset
 from agatetack.settings.defaults import default_settings
