--- a/agatetack/claims/appender.py
+++ b/agatetack/claims/appender.py
@@ -8,7 +8,7 @@
 import trio
 
 from agatetack.claims import codec
-from agatetack.claims.pace import Pace
+from agatetack.claims.rate_limiter import AppendRateLimiter
 from agatetack.generated.claims.ttypes import (
     Batch,
     Entry,
@@ -108,20 +108,20 @@
         settings: Settings,
         log: Log,
         metrics: Metrics,
-        pace: Pace,
+        rate_limiter: AppendRateLimiter,
         listener: AppendListener,
     ):
-        """Append to `stream` at the rate of `pace`, and notify `listener`."""
+        """Append to `stream` as `rate_limiter` allows; notify `listener`."""
         self.stream = stream
         self.settings = settings
         self.log = log
         self.metrics = metrics
-        self.pace = pace
+        self.rate_limiter = rate_limiter
         self.listener = listener
         self.urgent: collections.deque[Pending] = collections.deque()
         self.lazy: collections.deque[Pending] = collections.deque()
         self.lazy_at = math.inf
-        self.work = trio.Event()
+        self.queued_event = trio.Event()
         self.slots = trio.Semaphore(MAX_APPENDS_IN_FLIGHT)
 
     def put(self, pending: Pending) -> None:
@@ -135,22 +135,22 @@
             self.lazy_at = min(self.lazy_at, due)
         else:
             self.urgent.append(pending)
-        self.work.set()
+        self.queued_event.set()
 
     async def run(self) -> None:
         """Append until cancelled."""
         async with trio.open_nursery() as nursery:
             while True:
-                await self._work_due()
+                await self._wait_until_due()
                 await self.slots.acquire()
-                await self.pace.take()
+                await self.rate_limiter.acquire()
                 nursery.start_soon(self._append, self._next_batch())
 
-    async def _work_due(self) -> None:
+    async def _wait_until_due(self) -> None:
         while not self.urgent and trio.current_time() < self.lazy_at:
-            self.work = trio.Event()
+            self.queued_event = trio.Event()
             with trio.move_on_at(self.lazy_at):
-                await self.work.wait()
+                await self.queued_event.wait()
 
     def _next_batch(self) -> list[Pending]:
         batch: list[Pending] = []
@@ -180,7 +180,7 @@
             offset = await self.log.append(self.stream, payload, deadline)
         except LogTooFast as error:
             self._count("too-fast", batch)
-            self._again(batch, error.retry_at)
+            self._retry(batch, error.retry_at)
         except LogUnavailable:
             self._count("unavailable", batch)
             self._fail(batch)
@@ -189,7 +189,7 @@
             for pending in batch:
                 pending.in_doubt = True
             self.listener.on_log_failed()
-            self._again(batch, self._retry_at())
+            self._retry(batch, self._retry_at())
         else:
             self._count("done", batch)
             for pending in batch:
@@ -202,17 +202,17 @@
         self.listener.on_log_failed()
         waiting = [pending for pending in self.urgent if pending.wanted]
         self.urgent.clear()
-        again = []
+        retried = []
         for pending in batch + waiting:
             pending.sending = pending.queued = False
             if pending.in_doubt or pending.entry.kind != EntryKind.CLAIM:
-                again.append(pending)
+                retried.append(pending)
             else:
                 pending.settle(Verdict(VerdictKind.FAILED))
-        self._again(again, self._retry_at())
+        self._retry(retried, self._retry_at())
 
-    def _again(self, batch: list[Pending], at: Deadline) -> None:
-        self.pace.hold(at)
+    def _retry(self, batch: list[Pending], at: Deadline) -> None:
+        self.rate_limiter.pause_until(at)
         for pending in batch:
             pending.sending = False
             if pending.wanted:
--- a/agatetack/claims/log_store.py
+++ b/agatetack/claims/log_store.py
@@ -12,8 +12,8 @@
 from agatetack.claims.inquiry import Inquiries
 from agatetack.claims.key import RequestKey, attempt_digest, read_key
 from agatetack.claims.open_keys import OpenKeys
-from agatetack.claims.pace import Pace
 from agatetack.claims.partition import Partition
+from agatetack.claims.rate_limiter import AppendRateLimiter
 from agatetack.claims.reappender import Reappender
 from agatetack.claims.recorder import Recorder
 from agatetack.claims.router import Router
@@ -101,8 +101,12 @@
         )
 
     def _partition(self, number: int, log: Log, metrics: Metrics) -> Partition:
-        pace = Pace(lambda: self.router.rate(number))
-        return Partition(number, self.settings, log, metrics, self.clock, pace)
+        rate_limiter = AppendRateLimiter(
+            lambda: self.router.append_rate(number)
+        )
+        return Partition(
+            number, self.settings, log, metrics, self.clock, rate_limiter
+        )
 
     async def run(
         self, task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED
--- a/agatetack/claims/partition.py
+++ b/agatetack/claims/partition.py
@@ -14,7 +14,7 @@
     Pending,
 )
 from agatetack.claims.fold import MS, Fold
-from agatetack.claims.pace import Pace
+from agatetack.claims.rate_limiter import AppendRateLimiter
 from agatetack.clock import Clock
 from agatetack.generated.claims.ttypes import Entry, Verdict, VerdictKind
 from agatetack.ids import Deadline, LogOffset, StreamId
@@ -71,7 +71,7 @@
         log: Log,
         metrics: Metrics,
         clock: Clock,
-        pace: Pace,
+        rate_limiter: AppendRateLimiter,
     ):
         """Prepare to read the stream of partition `number`."""
         self.number = number
@@ -81,7 +81,7 @@
         self.metrics = metrics
         self.clock = clock
         self.appender = Appender(
-            self.stream, settings, log, metrics, pace, self
+            self.stream, settings, log, metrics, rate_limiter, self
         )
         self.fold = Fold(settings)
         self.ready = False
--- a/agatetack/claims/pace.py
+++ b/agatetack/claims/rate_limiter.py
@@ -7,30 +7,30 @@
 from agatetack.ids import Deadline
 
 
-class Pace:
+class AppendRateLimiter:
     """A token bucket of one token: an idle partition appends without delay.
 
     Attributes:
         rate: Returns the allowed appends per second; called for each append.
-        free_at: When the next append may start.
+        next_append_at: When the next append may start.
     """
 
     def __init__(self, rate: Callable[[], float]):
         """Allow `rate()` appends per second."""
         self.rate = rate
-        self.free_at = Deadline(0.0)
+        self.next_append_at = Deadline(0.0)
 
-    async def take(self) -> None:
+    async def acquire(self) -> None:
         """Wait until an append may start, and count it as started."""
         while True:
             now = trio.current_time()
-            if now >= self.free_at:
+            if now >= self.next_append_at:
                 break
-            await trio.sleep_until(self.free_at)
+            await trio.sleep_until(self.next_append_at)
         # However late this append starts, only one more may follow at once.
         interval = 1 / self.rate()
-        self.free_at = Deadline(max(self.free_at + interval, now))
+        self.next_append_at = Deadline(max(self.next_append_at + interval, now))
 
-    def hold(self, until: Deadline) -> None:
+    def pause_until(self, until: Deadline) -> None:
         """Start no append before `until`."""
-        self.free_at = max(self.free_at, until)
+        self.next_append_at = max(self.next_append_at, until)
--- a/agatetack/claims/router.py
+++ b/agatetack/claims/router.py
@@ -58,7 +58,7 @@
             "Entries that a steward did not take, by reason.",
         )
 
-    def rate(self, number: int) -> float:
+    def append_rate(self, number: int) -> float:
         """Return the appends per second that this host may make to a partition.
 
         Hosts that see only some of the others have their own coordinator;
--- a/bench/claims.py
+++ b/bench/claims.py
@@ -228,7 +228,7 @@
         )
         if load.mode is Mode.OWN:
             # Alone it would take the share of one host only.
-            store.router.rate = self.own_rate
+            store.router.append_rate = self.own_rate
         await self.nursery.start(store.run)
         return store
 
