--- a/agatetack/claims/call_handler.py
+++ b/agatetack/claims/call_handler.py
@@ -15,7 +15,7 @@
 from agatetack.peers.exchange import Exchange, Topic
 from agatetack.settings.model import Settings
 
-MS = 1000
+MS_PER_SECOND = 1000
 """Milliseconds in a second."""
 
 
@@ -61,6 +61,6 @@
             raise codec.BadMessage("submission has an unknown partition")
         for entry in entries:
             codec.check_entry(entry)
-        seconds = (submission.time_left_ms or 0) / MS
+        seconds = (submission.time_left_ms or 0) / MS_PER_SECOND
         deadline = Deadline(trio.current_time() + seconds)
         return await self.partitions[number].submit(entries, deadline)
--- a/agatetack/claims/coordinator_client.py
+++ b/agatetack/claims/coordinator_client.py
@@ -25,7 +25,7 @@
 REPLY_TIME_RATIO = 0.8
 """Share of a call's timeout within which the coordinator must reply."""
 
-MS = 1000
+MS_PER_SECOND = 1000
 """Milliseconds in a second."""
 
 
@@ -118,7 +118,7 @@
             submission=Submission(
                 partition=self.partition,
                 entries=[pending.entry for pending in batch],
-                time_left_ms=int(timeout * REPLY_TIME_RATIO * MS),
+                time_left_ms=int(timeout * REPLY_TIME_RATIO * MS_PER_SECOND),
             )
         )
         deadline = Deadline(trio.current_time() + timeout)
--- a/agatetack/claims/done_keys.py
+++ b/agatetack/claims/done_keys.py
@@ -187,7 +187,7 @@
                 newest.add(generation.get(slot))
                 generation.drop(slot)
 
-    def forget(self, now_ms: int) -> None:
+    def drop_expired(self, now_ms: int) -> None:
         """Drop the generations that hold no unexpired keys."""
         if any(self._is_empty(old, now_ms) for old in self.generations):
             self.generations = collections.deque(
--- a/agatetack/claims/fold.py
+++ b/agatetack/claims/fold.py
@@ -30,18 +30,18 @@
 from agatetack.settings.model import Settings
 
 NO_RELEASE = -1
-"""Barrier of a key that was never released."""
+"""Last release offset of a key that was never released."""
 
-NOBODY = b""
+AMBIGUOUS_HOLDER = b""
 """Holder of a key that two attempts seem to hold; no release matches it."""
 
-MS = 1000
+MS_PER_SECOND = 1000
 """Milliseconds in a second."""
 
-UNDATED_SPAN = 0.1
+UNDATED_GENERATION_RATIO = 0.1
 """Share of the log's retention whose keys are written again together."""
 
-MINUTE_MS = 60 * MS
+MINUTE_MS = 60 * MS_PER_SECOND
 """Milliseconds in a minute, the step in which keys expire."""
 
 
@@ -50,24 +50,24 @@
     """What is known of a key that is free or held.
 
     Attributes:
-        attempt: The attempt that holds it, or None if it is free.
+        holder: The attempt that holds it, or None if it is free.
         fingerprint: Digest of the holder's request.
         dated: Whether the caller sent the time at which the key was issued.
         until_ms: The holder's deadline on the wall clock, in ms since 1970.
         claimed_ms: When it was claimed or freed, by the log's clock.
         written_ms: When its newest record was written, by the log's clock.
-        barrier: The offset of its last release, or `NO_RELEASE`.
-        released: The attempt named in its last release.
+        last_release_offset: The offset of its last release, or `NO_RELEASE`.
+        last_released_attempt: The attempt named in its last release.
     """
 
-    attempt: bytes | None
+    holder: bytes | None
     fingerprint: bytes
     dated: bool
     until_ms: int
     claimed_ms: int
     written_ms: int
-    barrier: int
-    released: bytes | None
+    last_release_offset: int
+    last_released_attempt: bytes | None
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -84,36 +84,40 @@
     Attributes:
         next: The first offset not folded yet.
         now_ms: The latest time seen on the log's clock.
-        since_ms: Claims before this time may be missing.
-        gap: Whether records before the next one were never read.
+        known_since_ms: Claims before this time may be missing.
+        has_gap: Whether records before the next one were never read.
         keys: The state of each key that is free or held.
-        done: Dated keys that are done; they never change again.
-        undated: Keys without a time of issue that are done.
+        done_dated: Dated keys that are done; they never change again.
+        done_undated: Keys without a time of issue that are done.
         expiries: Keys by the minute after which they may be forgotten.
-        written: When records of held, undated keys were written, in order.
+        held_writes: When records of held, undated keys were written, in order.
     """
 
     def __init__(self, settings: Settings):
         """Start with no keys, before the first record."""
         claims = settings.claims
-        self.dated_keep_ms = int(2 * claims.key_window_seconds * MS)
-        self.undated_keep_ms = int(claims.undated_window_seconds * MS)
+        self.dated_keep_ms = int(2 * claims.key_window_seconds * MS_PER_SECOND)
+        self.undated_keep_ms = int(
+            claims.undated_window_seconds * MS_PER_SECOND
+        )
         self.next = LogOffset(0)
         self.now_ms = 0
-        self.since_ms = 0
-        self.gap = False
+        self.known_since_ms = 0
+        self.has_gap = False
         self.keys: dict[bytes, KeyState] = {}
         max_keys = -(-claims.max_keys // claims.partitions)
-        retention_ms = settings.platform.log.retention_seconds * MS
-        self.done = DoneKeys(max_keys, self.dated_keep_ms // 4)
-        self.undated = DoneKeys(max_keys, int(retention_ms * UNDATED_SPAN))
+        retention_ms = settings.platform.log.retention_seconds * MS_PER_SECOND
+        self.done_dated = DoneKeys(max_keys, self.dated_keep_ms // 4)
+        self.done_undated = DoneKeys(
+            max_keys, int(retention_ms * UNDATED_GENERATION_RATIO)
+        )
         self.expiries: dict[int, set[bytes]] = {}
-        self.written: collections.deque[KeyWrite] = collections.deque()
+        self.held_writes: collections.deque[KeyWrite] = collections.deque()
 
     def start(self, offset: LogOffset) -> None:
         """Continue at `offset`, as the records before it were dropped."""
         self.next = offset
-        self.gap = True
+        self.has_gap = True
 
     def advance(self, offset: LogOffset, at_ms: int) -> None:
         """Mark the record at `offset` as folded; drop expired keys."""
@@ -121,77 +125,81 @@
         minute = self.now_ms // MINUTE_MS
         self.now_ms = max(self.now_ms, at_ms)
         if self.now_ms // MINUTE_MS > minute:
-            self._forget()
+            self._drop_expired()
 
     def apply(self, offset: LogOffset, at_ms: int, entry: Entry) -> None:
         """Fold one entry of the record at `offset`."""
         at_ms = max(at_ms, self.now_ms)
-        if self.gap:
-            self.gap = False
-            self.since_ms = at_ms
+        if self.has_gap:
+            self.has_gap = False
+            self.known_since_ms = at_ms
         state = self.keys.get(entry.key)
-        if state is None and self._is_done(at_ms, entry):
+        if state is None and self._apply_if_done(at_ms, entry):
             return
         if entry.kind == EntryKind.CLAIM:
-            self._claim(offset, at_ms, entry, state)
+            self._apply_claim(offset, at_ms, entry, state)
         elif entry.kind == EntryKind.RELEASE:
-            self._release(offset, at_ms, entry, state)
+            self._apply_release(offset, at_ms, entry, state)
         elif entry.kind == EntryKind.DONE:
-            self._done(at_ms, entry, state)
+            self._apply_done(at_ms, entry, state)
         else:
-            self._keep(at_ms, entry, state)
+            self._apply_keep(at_ms, entry, state)
 
-    def _claim(
+    def _apply_claim(
         self, offset: int, at_ms: int, entry: Entry, state: KeyState | None
     ) -> None:
         if state is None:
-            state = self._add(entry.key, at_ms)
-        elif state.attempt is not None or entry.seen <= state.barrier:
+            state = self._add_key(entry.key, at_ms)
+        elif (
+            state.holder is not None or entry.seen <= state.last_release_offset
+        ):
             return
-        state.attempt = entry.attempt
+        state.holder = entry.attempt
         state.fingerprint = entry.fingerprint
         state.until_ms = entry.until_ms
-        self._date(entry.key, state, at_ms, bool(entry.dated))
-        self._written(entry.key, state, at_ms)
+        self._set_expiry(entry.key, state, at_ms, bool(entry.dated))
+        self._record_write(entry.key, state, at_ms)
 
-    def _release(
+    def _apply_release(
         self, offset: int, at_ms: int, entry: Entry, state: KeyState | None
     ) -> None:
         if state is None:
-            state = self._add(entry.key, at_ms)
-        elif state.attempt not in (None, entry.attempt):
+            state = self._add_key(entry.key, at_ms)
+        elif state.holder not in (None, entry.attempt):
             # A later release by the holder will be a barrier for this one, too.
             return
-        state.attempt = None
-        state.barrier = offset
-        state.released = entry.attempt
+        state.holder = None
+        state.last_release_offset = offset
+        state.last_released_attempt = entry.attempt
         # A barrier matters only to requests that are still open.
-        self._date(entry.key, state, at_ms, dated=True)
+        self._set_expiry(entry.key, state, at_ms, dated=True)
 
-    def _is_done(self, at_ms: int, entry: Entry) -> bool:
+    def _apply_if_done(self, at_ms: int, entry: Entry) -> bool:
         """Return whether the key is done; record if it is written again."""
-        if self.done.find(entry.key):
+        if self.done_dated.find(entry.key):
             return True
-        if not self.undated.find(entry.key):
+        if not self.done_undated.find(entry.key):
             return False
         if entry.kind == EntryKind.KEEP:
-            self.undated.rewrite(entry.key, at_ms)
+            self.done_undated.rewrite(entry.key, at_ms)
         return True
 
-    def _done(self, at_ms: int, entry: Entry, state: KeyState | None) -> None:
+    def _apply_done(
+        self, at_ms: int, entry: Entry, state: KeyState | None
+    ) -> None:
         fingerprint = b""
         dated = False
         if state is not None:
-            self._undate(entry.key, state)
+            self._cancel_expiry(entry.key, state)
             del self.keys[entry.key]
         # A reader that missed the claim does not know its fingerprint.
-        if state is not None and state.attempt == entry.attempt:
+        if state is not None and state.holder == entry.attempt:
             fingerprint = state.fingerprint
             dated = state.dated
         claimed_ms = state.claimed_ms if state else at_ms
-        self._pack(entry, fingerprint, dated, claimed_ms, at_ms)
+        self._add_done(entry, fingerprint, dated, claimed_ms, at_ms)
 
-    def _pack(
+    def _add_done(
         self,
         entry: Entry,
         fingerprint: bytes,
@@ -204,71 +212,75 @@
         done = DoneKey(
             entry.key, fingerprint, entry.status, claimed_ms + keep_ms
         )
-        keys = self.done if dated else self.undated
+        keys = self.done_dated if dated else self.done_undated
         keys.add(done, at_ms)
-        while self.written and self.written[0].key not in self.keys:
-            self.written.popleft()
+        while self.held_writes and self.held_writes[0].key not in self.keys:
+            self.held_writes.popleft()
 
-    def _keep(self, at_ms: int, entry: Entry, state: KeyState | None) -> None:
+    def _apply_keep(
+        self, at_ms: int, entry: Entry, state: KeyState | None
+    ) -> None:
         if entry.status:
             # The request certainly ran, whichever records were missed here.
             if state is not None:
-                self._undate(entry.key, state)
+                self._cancel_expiry(entry.key, state)
                 del self.keys[entry.key]
-            self._pack(entry, entry.fingerprint, False, entry.claimed_ms, at_ms)
+            self._add_done(
+                entry, entry.fingerprint, False, entry.claimed_ms, at_ms
+            )
             return
         if state is None:
-            state = self._add(entry.key, at_ms)
-        elif state.attempt == entry.attempt:
-            self._written(entry.key, state, at_ms)
+            state = self._add_key(entry.key, at_ms)
+        elif state.holder == entry.attempt:
+            self._record_write(entry.key, state, at_ms)
             return
-        elif state.attempt is not None:
+        elif state.holder is not None:
             # This reader or the entry's writer may have missed a release, so
             # no release may free the key any more.
-            state.attempt = NOBODY
+            state.holder = AMBIGUOUS_HOLDER
             return
-        elif state.released == entry.attempt:
+        elif state.last_released_attempt == entry.attempt:
             return
-        state.attempt = entry.attempt
+        state.holder = entry.attempt
         state.fingerprint = entry.fingerprint
         state.until_ms = entry.until_ms
-        self._date(entry.key, state, entry.claimed_ms, bool(entry.dated))
-        self._written(entry.key, state, at_ms)
+        self._set_expiry(entry.key, state, entry.claimed_ms, bool(entry.dated))
+        self._record_write(entry.key, state, at_ms)
 
-    def _add(self, key: bytes, at_ms: int) -> KeyState:
+    def _add_key(self, key: bytes, at_ms: int) -> KeyState:
         state = KeyState(
-            attempt=None,
+            holder=None,
             fingerprint=b"",
             dated=True,
             until_ms=at_ms,
             claimed_ms=at_ms,
             written_ms=at_ms,
-            barrier=NO_RELEASE,
-            released=None,
+            last_release_offset=NO_RELEASE,
+            last_released_attempt=None,
         )
         self.keys[key] = state
         return state
 
-    def _date(
+    def _set_expiry(
         self, key: bytes, state: KeyState, claimed_ms: int, dated: bool
     ) -> None:
         """Set the times from which and for how long the key is kept."""
-        self._undate(key, state)
+        self._cancel_expiry(key, state)
         state.claimed_ms = claimed_ms
         state.dated = dated
         minute = self.expires_ms(state) // MINUTE_MS
         self.expiries.setdefault(minute, set()).add(key)
 
-    def _undate(self, key: bytes, state: KeyState) -> None:
+    def _cancel_expiry(self, key: bytes, state: KeyState) -> None:
         keys = self.expiries.get(self.expires_ms(state) // MINUTE_MS)
         if keys is not None:
             keys.discard(key)
 
-    def _written(self, key: bytes, state: KeyState, at_ms: int) -> None:
+    def _record_write(self, key: bytes, state: KeyState, at_ms: int) -> None:
         """Record that an entry of a held key was written at `at_ms`."""
         state.written_ms = at_ms
         if not state.dated:
-            self.written.append(KeyWrite(at_ms, key))
+            self.held_writes.append(KeyWrite(at_ms, key))
 
     def expires_ms(self, state: KeyState) -> int:
         """Return when `state` expires, by the log's clock."""
@@ -276,21 +288,21 @@
             return state.claimed_ms + self.dated_keep_ms
         return state.claimed_ms + self.undated_keep_ms
 
-    def _forget(self) -> None:
+    def _drop_expired(self) -> None:
         now = self.now_ms // MINUTE_MS
         for minute in [m for m in self.expiries if m < now]:
             for key in self.expiries.pop(minute):
                 del self.keys[key]
-        self.done.forget(self.now_ms)
-        self.undated.forget(self.now_ms)
+        self.done_dated.drop_expired(self.now_ms)
+        self.done_undated.drop_expired(self.now_ms)
 
     def __len__(self) -> int:
         """Return the number of keys that are remembered."""
-        return len(self.keys) + len(self.done) + len(self.undated)
+        return len(self.keys) + len(self.done_dated) + len(self.done_undated)
 
     def find_done(self, key: bytes) -> DoneKey | None:
         """Return the done key with digest `key`, or None."""
-        return self.done.find(key) or self.undated.find(key)
+        return self.done_dated.find(key) or self.done_undated.find(key)
 
     def has(self, entry: Entry) -> bool:
         """Return whether `entry` is known to have been folded before."""
@@ -300,10 +312,10 @@
         if state is None or entry.kind == EntryKind.KEEP:
             return False
         if entry.kind == EntryKind.CLAIM:
-            return state.attempt == entry.attempt
-        return state.released == entry.attempt
+            return state.holder == entry.attempt
+        return state.last_released_attempt == entry.attempt
 
-    def look(self, key: bytes, fingerprint: bytes | None) -> Verdict:
+    def lookup(self, key: bytes, fingerprint: bytes | None) -> Verdict:
         """Return the current verdict on `key`.
 
         Args:
@@ -313,14 +325,14 @@
         """
         state = self.keys.get(key)
         if state is None:
-            return self._look_done(key, fingerprint)
-        if state.attempt is None:
+            return self._lookup_done(key, fingerprint)
+        if state.holder is None:
             return Verdict(VerdictKind.FREE)
         if fingerprint and state.fingerprint != fingerprint:
             return Verdict(VerdictKind.REUSED)
         return Verdict(VerdictKind.HELD, until_ms=state.until_ms)
 
-    def _look_done(self, key: bytes, fingerprint: bytes | None) -> Verdict:
+    def _lookup_done(self, key: bytes, fingerprint: bytes | None) -> Verdict:
         done = self.find_done(key)
         if done is None:
             return Verdict(VerdictKind.FREE)
@@ -328,14 +340,14 @@
             return Verdict(VerdictKind.REUSED)
         return Verdict(VerdictKind.DONE, status=done.status)
 
-    def judge(self, entry: Entry) -> Verdict:
+    def verdict_on(self, entry: Entry) -> Verdict:
         """Return the verdict on `entry`, which was just folded."""
         if entry.kind != EntryKind.CLAIM:
-            return self.look(entry.key, entry.fingerprint)
+            return self.lookup(entry.key, entry.fingerprint)
         state = self.keys.get(entry.key)
-        if state is not None and state.attempt == entry.attempt:
+        if state is not None and state.holder == entry.attempt:
             return Verdict(VerdictKind.GRANTED)
-        known = self.look(entry.key, entry.fingerprint)
-        if known.kind == VerdictKind.FREE:
+        verdict = self.lookup(entry.key, entry.fingerprint)
+        if verdict.kind == VerdictKind.FREE:
             return Verdict(VerdictKind.DEAD)
-        return known
+        return verdict
--- a/agatetack/claims/inquiry.py
+++ b/agatetack/claims/inquiry.py
@@ -97,7 +97,7 @@
         if not 0 <= (question.partition or 0) < len(self.partitions):
             return Verdict(VerdictKind.IN_DOUBT)
         partition = self.partitions[question.partition or 0]
-        known = partition.fold.look(question.key, None)
+        known = partition.fold.lookup(question.key, None)
         if known.kind != VerdictKind.FREE:
             return known
         if self.open_keys.has(question.key, partition):
@@ -139,7 +139,7 @@
         partition = self.partitions[question.partition]
         if not partition.ready:
             return Verdict(VerdictKind.NOT_READY)
-        return partition.fold.look(question.key, None)
+        return partition.fold.lookup(question.key, None)
 
     async def _ask_peer(
         self,
--- a/agatetack/claims/log_store.py
+++ b/agatetack/claims/log_store.py
@@ -8,7 +8,7 @@
 from agatetack.claims import refusals
 from agatetack.claims.background import Background
 from agatetack.claims.call_handler import ClaimCallHandler
-from agatetack.claims.fold import MS
+from agatetack.claims.fold import MS_PER_SECOND
 from agatetack.claims.inquiry import Inquiries
 from agatetack.claims.key import RequestKey, attempt_digest, read_key
 from agatetack.claims.open_keys import OpenKeys
@@ -191,7 +191,7 @@
         """Return a refusal if this host's own state requires one, or None."""
         partition = self.partitions[key.partition]
         retry_at = self._retry_at()
-        known = partition.fold.look(key.digest, key.fingerprint)
+        known = partition.fold.lookup(key.digest, key.fingerprint)
         if known.kind != VerdictKind.FREE:
             return refusals.key_taken(known, self.clock.wall(), retry_at)
         if self._expired(partition, key):
@@ -242,7 +242,7 @@
         The monotonic clock may stop while a host is suspended.
         """
         late = trio.current_time() >= held.deadline
-        return late or self.clock.wall() * MS >= entry.until_ms
+        return late or self.clock.wall() * MS_PER_SECOND >= entry.until_ms
 
     async def _refusal(self, held: HeldClaim, verdict: Verdict) -> Refusal:
         if verdict.kind in (VerdictKind.FAILED, VerdictKind.NOT_READY):
@@ -278,9 +278,9 @@
         """
         if key.issued_ms is None:
             return False
-        window_ms = self.settings.claims.key_window_seconds * MS
+        window_ms = self.settings.claims.key_window_seconds * MS_PER_SECOND
         now_ms = partition.log_ms()
-        oldest = max(now_ms - window_ms, partition.fold.since_ms)
+        oldest = max(now_ms - window_ms, partition.fold.known_since_ms)
         return not oldest <= key.issued_ms <= now_ms + window_ms / 3
 
     def _retry_at(self) -> Deadline:
@@ -301,7 +301,7 @@
             fingerprint=key.fingerprint,
             seen=seen,
             dated=key.issued_ms is not None,
-            until_ms=int(until * MS),
+            until_ms=int(until * MS_PER_SECOND),
         )
 
     def _entry(
--- a/agatetack/claims/partition.py
+++ b/agatetack/claims/partition.py
@@ -13,7 +13,7 @@
     AppendListener,
     Pending,
 )
-from agatetack.claims.fold import MS, Fold
+from agatetack.claims.fold import MS_PER_SECOND, Fold
 from agatetack.claims.rate_limiter import AppendRateLimiter
 from agatetack.clock import Clock
 from agatetack.generated.claims.ttypes import Entry, Verdict, VerdictKind
@@ -110,7 +110,7 @@
 
     def log_ms(self) -> int:
         """Return the estimated time of the log's clock, in ms since 1970."""
-        return max(self.fold.now_ms, int(self.clock.wall() * MS))
+        return max(self.fold.now_ms, int(self.clock.wall() * MS_PER_SECOND))
 
     # Pending entries.
 
@@ -150,7 +150,7 @@
             pending = Pending(entry)
             self.pending[name] = pending
             if self.ready and self.fold.has(entry):
-                pending.settle(self.fold.judge(entry))
+                pending.settle(self.fold.verdict_on(entry))
         pending.waiters += 1
         return pending
 
@@ -251,7 +251,7 @@
     def _take_record(self, record: LogRecord) -> None:
         # Records appended here may have been folded during this read.
         if record.offset >= self.fold.next:
-            at_ms = math.floor(record.appended_at * MS)
+            at_ms = math.floor(record.appended_at * MS_PER_SECOND)
             self._fold(record.offset, at_ms, record.payload)
 
     def _fold(self, offset: LogOffset, at_ms: int, payload: bytes) -> None:
@@ -271,7 +271,7 @@
     def _settle(self, entry: Entry) -> None:
         pending = self.pending.get(PendingId(entry.kind, entry.attempt))
         if pending is not None and self.ready:
-            pending.settle(self.fold.judge(entry))
+            pending.settle(self.fold.verdict_on(entry))
 
     def _count_dropped(self, reason: str) -> None:
         self.metrics.dropped.inc({"part": "claims", "reason": reason})
--- a/agatetack/claims/reappender.py
+++ b/agatetack/claims/reappender.py
@@ -4,7 +4,7 @@
 
 from agatetack.claims.codec import DIGEST_BYTES
 from agatetack.claims.done_keys import DoneKey
-from agatetack.claims.fold import MS, KeyState, KeyWrite
+from agatetack.claims.fold import MS_PER_SECOND, KeyState, KeyWrite
 from agatetack.claims.partition import Partition
 from agatetack.claims.router import Router
 from agatetack.generated.claims.ttypes import Entry, EntryKind
@@ -38,7 +38,9 @@
         """Take this host's rank from `router`."""
         self.settings = settings
         self.router = router
-        self.retention_ms = int(settings.platform.log.retention_seconds * MS)
+        self.retention_ms = int(
+            settings.platform.log.retention_seconds * MS_PER_SECOND
+        )
         self.reappended = metrics.counter(
             "agatetack_claims_kept_total", "Keys written again."
         )
@@ -87,13 +89,13 @@
     ) -> list[Entry]:
         keep_ms = partition.fold.undated_keep_ms
         expires_ms = int(due_ms) + self.retention_ms
-        due = partition.fold.undated.due(int(due_ms), expires_ms, limit)
+        due = partition.fold.done_undated.due(int(due_ms), expires_ms, limit)
         return [_keep_done_entry(done, keep_ms) for done in due]
 
     def _due_held(self, partition: Partition, due_ms: float) -> list[Entry]:
         self._drop_outdated(partition)
         entries: list[Entry] = []
-        for write in partition.fold.written:
+        for write in partition.fold.held_writes:
             if write.at_ms > due_ms:
                 break
             if self._is_needed(partition, write):
@@ -102,14 +104,14 @@
         return entries
 
     def _drop_outdated(self, partition: Partition) -> None:
-        written = partition.fold.written
+        written = partition.fold.held_writes
         while written and not self._is_needed(partition, written[0]):
             written.popleft()
 
     def _is_needed(self, partition: Partition, write: KeyWrite) -> bool:
         """Return whether `write` is the key's newest record and needed."""
         state = partition.fold.keys.get(write.key)
-        if state is None or state.attempt is None:
+        if state is None or state.holder is None:
             return False
         dropped_ms = state.written_ms + self.retention_ms
         return (
@@ -123,7 +125,7 @@
     return Entry(
         kind=EntryKind.KEEP,
         key=key,
-        attempt=state.attempt or bytes(DIGEST_BYTES),
+        attempt=state.holder or bytes(DIGEST_BYTES),
         fingerprint=state.fingerprint,
         dated=state.dated,
         until_ms=state.until_ms,
--- a/agatetack/claims/refusals.py
+++ b/agatetack/claims/refusals.py
@@ -1,6 +1,6 @@
 """Build the refusals of at-most-once requests."""
 
-from agatetack.claims.fold import MS
+from agatetack.claims.fold import MS_PER_SECOND
 from agatetack.generated.claims.ttypes import Verdict, VerdictKind
 from agatetack.ids import Deadline, WallTime
 from agatetack.outcomes import Outcome, Refusal, RefusalReason, refuse
@@ -24,7 +24,7 @@
             RefusalReason.KEY_ALREADY_DONE,
             f"The request ran and was answered with {verdict.status}.",
         )
-    if (verdict.until_ms or 0) > now * MS:
+    if (verdict.until_ms or 0) > now * MS_PER_SECOND:
         return in_progress(retry_at)
     return refuse(
         RefusalReason.KEY_OUTCOME_UNKNOWN,
--- a/agatetack/claims/test_fold.py
+++ b/agatetack/claims/test_fold.py
@@ -86,7 +86,7 @@
 )
 def test_last_entry_is_judged(entries, verdict):
     fold = fold_records([[entry] for entry in entries])
-    assert fold.judge(entries[-1]).kind == verdict
+    assert fold.verdict_on(entries[-1]).kind == verdict
 
 
 def test_many_done_keys():
@@ -108,7 +108,7 @@
     assert done.due(0, 0, 2000) == []
     assert len(done) == 3000
     assert all(done.find(key).key == key for key in keys)
-    done.forget(200_000)
+    done.drop_expired(200_000)
     # Keys expire by generation, no matter when they were last written.
     found = [bool(done.find(key)) for key in keys]
     assert found == [False] * 1200 + [True] * 1800
@@ -168,7 +168,7 @@
         verdicts = []
         for entry in entries:
             self.fold.apply(offset, NOW_MS + offset, entry)
-            verdicts.append(self.fold.judge(entry).kind)
+            verdicts.append(self.fold.verdict_on(entry).kind)
         self.fold.advance(offset, NOW_MS + offset)
         return verdicts
 
@@ -235,7 +235,7 @@
     @rule(target=keeps, key=st.sampled_from(KEYS))
     def find_due(self, key):
         state = self.fold.keys.get(key)
-        if state is None or state.attempt is None:
+        if state is None or state.holder is None:
             return multiple()
         return keep_entry(key, state)
 
@@ -252,7 +252,7 @@
         again = fold_records(self.records)
         assert again.keys == self.fold.keys
         for key in KEYS:
-            assert again.look(key, None) == self.fold.look(key, None)
+            assert again.lookup(key, None) == self.fold.lookup(key, None)
 
     @invariant()
     def a_late_reader_frees_nothing(self):
@@ -260,11 +260,11 @@
         for start in range(1, len(self.records)):
             late = fold_records(self.records, start)
             for key, state in self.fold.keys.items():
-                if state.attempt and self.is_kept(key, state, start):
-                    assert late.look(key, None).kind != VerdictKind.FREE
+                if state.holder and self.is_kept(key, state, start):
+                    assert late.lookup(key, None).kind != VerdictKind.FREE
             for key in KEYS:
                 if self.fold.find_done(key) and self.is_done(key, start):
-                    assert late.look(key, None).kind == VerdictKind.DONE
+                    assert late.lookup(key, None).kind == VerdictKind.DONE
 
     def is_done(self, key, start):
         """Return whether a done entry of `key` is retained from `start`."""
@@ -279,7 +279,7 @@
         kinds = (EntryKind.KEEP, EntryKind.DONE)
         return any(
             entry.key == key
-            and entry.attempt == state.attempt
+            and entry.attempt == state.holder
             and entry.kind in kinds
             for record in self.records[start:]
             for entry in record
--- a/agatetack/claims/test_log_store.py
+++ b/agatetack/claims/test_log_store.py
@@ -256,7 +256,7 @@
         fleet.log.truncate(stream, kept[0].offset)
     assert fleet.log.appends < 20
     fresh = await fleet.add()
-    assert fresh.partitions[0].fold.since_ms > 0
+    assert fresh.partitions[0].fold.known_since_ms > 0
     done = await fleet.claim(fresh, key="done")
     held = await fleet.claim(fresh, key="held")
     assert outcome_of(done)[0] == "key-already-done"
--- a/agatetack/operators/claim_view.py
+++ b/agatetack/operators/claim_view.py
@@ -44,6 +44,6 @@
 def _claim_state(state: KeyState | None) -> ClaimState:
     if state is None:
         return ClaimState.UNCLAIMED
-    if state.attempt is None:
+    if state.holder is None:
         return ClaimState.RELEASED
     return ClaimState.DONE if state.status else ClaimState.IN_PROGRESS
