--- a/agatetack/claims/inquiry.py
+++ b/agatetack/claims/inquiry.py
@@ -85,7 +85,7 @@
         return asked.unused
 
     def answer(self, inquiry: Inquiry) -> list[Verdict]:
-        """Answer a peer; a key that is answered as free is barred here."""
+        """Answer a peer; a key that is answered as free is blocked here."""
         questions = inquiry.questions or []
         return [self._answer(question) for question in questions]
 
@@ -100,9 +100,9 @@
         known = partition.fold.lookup(question.key, None)
         if known.kind != VerdictKind.FREE:
             return known
-        if self.open_keys.has(question.key, partition):
+        if self.open_keys.is_open(question.key, partition):
             return Verdict(VerdictKind.HELD)
-        if not self.open_keys.bar(question.key):
+        if not self.open_keys.block_earlier(question.key):
             return Verdict(VerdictKind.IN_DOUBT)
         if not partition.ready:
             return Verdict(VerdictKind.NOT_READY)
--- a/agatetack/claims/log_store.py
+++ b/agatetack/claims/log_store.py
@@ -134,7 +134,7 @@
         while True:
             await trio.sleep(HOUSEKEEPING_SECONDS)
             oldest = Deadline(trio.current_time() - max_seconds)
-            self.open_keys.purge_bars(oldest)
+            self.open_keys.purge_blocks(oldest)
             for partition in self.partitions:
                 self.open_keys.purge(partition)
                 label = {"partition": str(partition.number)}
@@ -160,7 +160,7 @@
             return result
         finally:
             if granted:
-                self.open_keys.granted(key.digest)
+                self.open_keys.mark_granted(key.digest)
             else:
                 self.open_keys.close(key.digest)
 
@@ -196,13 +196,13 @@
             return refusals.key_taken(known, self.clock.wall(), retry_at)
         if self._expired(partition, key):
             return refusals.expired()
-        if self._barred(key, request):
+        if self._is_blocked(key, request):
             return refusals.in_doubt(retry_at)
-        if self.open_keys.has(key.digest, partition):
+        if self.open_keys.is_open(key.digest, partition):
             return refusals.in_progress(retry_at)
         return None
 
-    def _barred(self, key: RequestKey, request: CallerRequest) -> bool:
+    def _is_blocked(self, key: RequestKey, request: CallerRequest) -> bool:
         """Return whether "not run" may have been answered since the arrival.
 
         Releases are only sure to be remembered for one window, so a request
@@ -210,7 +210,7 @@
         """
         window = self.settings.claims.key_window_seconds
         too_old = trio.current_time() - request.arrived > window
-        return too_old or self.open_keys.barred(key.digest, request.arrived)
+        return too_old or self.open_keys.is_blocked(key.digest, request.arrived)
 
     async def _claim(
         self, held: HeldClaim, request: CallerRequest
