--- a/agatetack/claims/rate_limiter.py
+++ b/agatetack/claims/rate_limiter.py
@@ -12,25 +12,25 @@
 
     Attributes:
         rate: Returns the allowed appends per second; called for each append.
-        next_append_at: When the next append may start.
+        free_at: When the next append may start.
     """
 
     def __init__(self, rate: Callable[[], float]):
-        """Allow `rate()` appends per second."""
+        """Allow `rate()` appends in a second."""
         self.rate = rate
-        self.next_append_at = Deadline(0.0)
+        self.free_at = Deadline(0.0)
 
     async def acquire(self) -> None:
-        """Wait until an append may start, and count it as started."""
+        """Wait until an append may start, and count it."""
         while True:
             now = trio.current_time()
-            if now >= self.next_append_at:
+            if now >= self.free_at:
                 break
-            await trio.sleep_until(self.next_append_at)
+            await trio.sleep_until(self.free_at)
         # However late this append starts, only one more may follow at once.
         interval = 1 / self.rate()
-        self.next_append_at = Deadline(max(self.next_append_at + interval, now))
+        self.free_at = Deadline(max(self.free_at + interval, now))
 
     def pause_until(self, until: Deadline) -> None:
         """Start no append before `until`."""
-        self.next_append_at = max(self.next_append_at, until)
+        self.free_at = max(self.free_at, until)
