--- a/agatetack/claims/fold.py
+++ b/agatetack/claims/fold.py
@@ -181,7 +181,7 @@
         if not self.done_undated.find(entry.key):
             return False
         if entry.kind == EntryKind.KEEP:
-            self.done_undated.rewrite(entry.key, at_ms)
+            self.done_undated.move_to_newest(entry.key, at_ms)
         return True
 
     def _apply_done(
--- a/agatetack/claims/test_fold.py
+++ b/agatetack/claims/test_fold.py
@@ -104,7 +104,7 @@
     # The first key expires too early, the others in the second minute.
     assert {key.key for key in due} == set(keys[1:600])
     for key in keys[:600]:
-        done.rewrite(key, 300_000)
+        done.move_to_newest(key, 300_000)
     assert done.due(0, 0, 2000) == []
     assert len(done) == 3000
     assert all(done.find(key).key == key for key in keys)
