--- a/agatetack/claims/log_store.py
+++ b/agatetack/claims/log_store.py
@@ -279,7 +279,7 @@
         if key.issued_ms is None:
             return False
         window_ms = self.settings.claims.key_window_seconds * MS_PER_SECOND
-        now_ms = partition.log_ms()
+        now_ms = partition.log_time_ms()
         oldest = max(now_ms - window_ms, partition.fold.known_since_ms)
         return not oldest <= key.issued_ms <= now_ms + window_ms / 3
 
@@ -293,7 +293,7 @@
     def _claim_entry(self, held: HeldClaim, request: CallerRequest) -> Entry:
         key = held.request_key
         until = deadline_to_wall(self.clock, request.deadline)
-        seen = self._partition_of(held).seen_at(request.arrived)
+        seen = self._partition_of(held).offset_at(request.arrived)
         return Entry(
             kind=EntryKind.CLAIM,
             key=key.digest,
--- a/agatetack/claims/open_keys.py
+++ b/agatetack/claims/open_keys.py
@@ -92,4 +92,4 @@
     """Return whether a read begun after the grant reached the end."""
     if opened.granted_at is None:
         return False
-    return opened.granted_at < partition.current_from
+    return opened.granted_at < partition.last_complete_read_at
--- a/agatetack/claims/partition.py
+++ b/agatetack/claims/partition.py
@@ -30,7 +30,7 @@
 from agatetack.record_log.resumption import Resumption
 from agatetack.settings.model import Settings
 
-POSITIONS = 512
+MAX_POSITIONS = 512
 """Number of past read positions that are remembered."""
 
 log_lines = PartLog("claims")
@@ -60,8 +60,8 @@
         fold: Which attempt holds which key, by the records read so far.
         ready: Whether the fold has reached the stream's end.
         reachable: Whether the log answered the last time it was called.
-        reading: Signals when the stream is read to its end after a gap.
-        current_from: When the last read that reached the end began.
+        resumption: Signals when the stream is read to its end after a gap.
+        last_complete_read_at: When the last read that reached the end began.
     """
 
     def __init__(
@@ -86,29 +86,29 @@
         self.fold = Fold(settings)
         self.ready = False
         self.reachable = True
-        self.reading = Resumption()
-        self.current_from = Deadline(-math.inf)
+        self.resumption = Resumption()
+        self.last_complete_read_at = Deadline(-math.inf)
         self.read_scope = trio.CancelScope()
-        self.kicked = trio.Event()
+        self.read_requested = trio.Event()
         self.pending: dict[PendingId, Pending] = {}
         self.positions: collections.deque[Position] = collections.deque(
-            maxlen=POSITIONS
+            maxlen=MAX_POSITIONS
         )
 
     async def run(self) -> None:
         """Read and append until cancelled."""
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(self._tail)
+            nursery.start_soon(self._read_loop)
             nursery.start_soon(self.appender.run)
 
-    def seen_at(self, arrived: Deadline) -> LogOffset:
+    def offset_at(self, arrived: Deadline) -> LogOffset:
         """Return the first offset that was not folded at `arrived`."""
         for position in reversed(self.positions):
             if position.at <= arrived:
                 return position.next
         return LogOffset(0)
 
-    def log_ms(self) -> int:
+    def log_time_ms(self) -> int:
         """Return the estimated time of the log's clock, in ms since 1970."""
         return max(self.fold.now_ms, int(self.clock.wall() * MS_PER_SECOND))
 
@@ -165,31 +165,31 @@
         """Fold an appended record at once, if it is the next one."""
         self.reachable = True
         if self.ready and offset == self.fold.next:
-            self._fold(offset, self.log_ms(), payload)
+            self._fold_payload(offset, self.log_time_ms(), payload)
         elif offset >= self.fold.next:
             # Records of other hosts precede it and must be read first.
-            self._kick()
+            self._request_read()
 
     def on_log_failed(self) -> None:
         """Refuse new claims until the log answers again."""
         self.reachable = False
-        self._kick()
+        self._request_read()
 
     # Reading.
 
-    async def _tail(self) -> None:
+    async def _read_loop(self) -> None:
         while True:
-            self.kicked = trio.Event()
+            self.read_requested = trio.Event()
             try:
                 # A failed append cancels a waiting read, as the next read
                 # shows at once whether the log answers.
                 with trio.CancelScope() as self.read_scope:
                     await self._read()
             except LogTruncated as error:
-                self.reading.interrupt()
-                self._start_over(error.first)
+                self.resumption.interrupt()
+                self._restart_at(error.first)
             except LogUnavailable:
-                self.reading.interrupt()
+                self.resumption.interrupt()
                 self.reachable = False
                 await trio.sleep(RETRY_SECONDS)
             else:
@@ -203,11 +203,11 @@
         """
         if self.ready and self.reachable:
             with trio.move_on_after(self.settings.claims.read_pause_seconds):
-                await self.kicked.wait()
+                await self.read_requested.wait()
 
-    def _kick(self) -> None:
+    def _request_read(self) -> None:
         """Start a read now."""
-        self.kicked.set()
+        self.read_requested.set()
         self.read_scope.cancel()
 
     async def _read(self) -> None:
@@ -219,9 +219,9 @@
         wait = Deadline(started + (settings.poll_seconds if waits else 0))
         deadline = Deadline(wait + settings.timeout_seconds)
         page = await self.log.read(self.stream, self.fold.next, deadline, wait)
-        self._take(page, started)
+        self._apply_page(page, started)
 
-    def _start_over(self, first: LogOffset) -> None:
+    def _restart_at(self, first: LogOffset) -> None:
         """Continue at the first retained record; earlier ones were dropped."""
         if self.fold.next > 0:
             log_lines.warning(
@@ -236,25 +236,27 @@
             pending.settle(Verdict(VerdictKind.IN_DOUBT))
         self.fold.start(first)
 
-    def _take(self, page: LogPage, started: Deadline) -> None:
+    def _apply_page(self, page: LogPage, started: Deadline) -> None:
         self.reachable = True
         for record in page.records:
-            self._take_record(record)
+            self._apply_record(record)
         if self.fold.next >= page.end:
             self.ready = True
-            self.current_from = started
-            self.reading.reach_end()
+            self.last_complete_read_at = started
+            self.resumption.reach_end()
         label = {"stream": self.stream}
         self.metrics.log_offset.set(label, self.fold.next)
         self.metrics.log_lag.set(label, max(0, page.end - self.fold.next))
 
-    def _take_record(self, record: LogRecord) -> None:
+    def _apply_record(self, record: LogRecord) -> None:
         # Records appended here may have been folded during this read.
         if record.offset >= self.fold.next:
             at_ms = math.floor(record.appended_at * MS_PER_SECOND)
-            self._fold(record.offset, at_ms, record.payload)
+            self._fold_payload(record.offset, at_ms, record.payload)
 
-    def _fold(self, offset: LogOffset, at_ms: int, payload: bytes) -> None:
+    def _fold_payload(
+        self, offset: LogOffset, at_ms: int, payload: bytes
+    ) -> None:
         try:
             entries = codec.decode_batch(payload).entries
         except codec.BadMessage as error:
@@ -263,12 +265,12 @@
             entries = []
         for entry in entries:
             self.fold.apply(offset, at_ms, entry)
-            self._settle(entry)
+            self._settle_waiter(entry)
         self.fold.advance(offset, at_ms)
         now = Deadline(trio.current_time())
         self.positions.append(Position(now, self.fold.next))
 
-    def _settle(self, entry: Entry) -> None:
+    def _settle_waiter(self, entry: Entry) -> None:
         pending = self.pending.get(PendingId(entry.kind, entry.attempt))
         if pending is not None and self.ready:
             pending.settle(self.fold.verdict_on(entry))
--- a/agatetack/claims/reappender.py
+++ b/agatetack/claims/reappender.py
@@ -53,7 +53,7 @@
         """
         rank = 0
         while True:
-            resumed = partition.reading.resumed
+            resumed = partition.resumption.resumed
             if partition.ready:
                 await self._reappend_due(partition, rank)
             with trio.move_on_after(CHECK_PAUSE_SECONDS) as pause:
@@ -79,7 +79,7 @@
         wait_ms = self.retention_ms * (
             FIRST_HOST_WAIT_RATIO + NEXT_HOST_WAIT_RATIO * rank
         )
-        due_ms = partition.log_ms() - wait_ms
+        due_ms = partition.log_time_ms() - wait_ms
         limit = self.settings.claims.max_batch
         entries = self._due_held(partition, due_ms)[:limit]
         return entries + self._due_done(partition, due_ms, limit - len(entries))
--- a/agatetack/claims/test_log_store.py
+++ b/agatetack/claims/test_log_store.py
@@ -317,7 +317,7 @@
     partition.on_appended(LogOffset(0), payload)
     assert partition.fold.next == 1
     record = LogRecord(LogOffset(0), payload, WallTime(EPOCH + 9))
-    partition._take_record(record)
+    partition._apply_record(record)
     assert partition.fold.now_ms < (EPOCH + 9) * 1000
 
 
--- a/bench/claims.py
+++ b/bench/claims.py
@@ -353,7 +353,7 @@
 def _fold_all(partition: Partition, payloads: list[bytes]) -> None:
     for offset, payload in enumerate(payloads):
         record = LogRecord(LogOffset(offset), payload, WallTime(WALL_START))
-        partition._take_record(record)
+        partition._apply_record(record)
 
 
 async def print_fold_task(fold_keys: list[int]) -> None:
