--- a/agatetack/claims/appender.py
+++ b/agatetack/claims/appender.py
@@ -40,7 +40,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Pending:
+class PendingAppend:
     """An entry that waits for its verdict.
 
     Attributes:
@@ -62,12 +62,12 @@
     waiters: int = 0
 
     @property
-    def wanted(self) -> bool:
+    def is_wanted(self) -> bool:
         """Return whether a call still waits for a verdict."""
         return self.verdict is None and self.waiters > 0
 
     @property
-    def sent(self) -> bool:
+    def maybe_sent(self) -> bool:
         """Return whether an append of it may have taken effect, or may yet."""
         return self.in_doubt or self.sending
 
@@ -118,13 +118,13 @@
         self.metrics = metrics
         self.rate_limiter = rate_limiter
         self.listener = listener
-        self.urgent: collections.deque[Pending] = collections.deque()
-        self.lazy: collections.deque[Pending] = collections.deque()
-        self.lazy_at = math.inf
+        self.urgent: collections.deque[PendingAppend] = collections.deque()
+        self.lazy: collections.deque[PendingAppend] = collections.deque()
+        self.lazy_due_at = math.inf
         self.queued_event = trio.Event()
-        self.slots = trio.Semaphore(MAX_APPENDS_IN_FLIGHT)
+        self.append_slots = trio.Semaphore(MAX_APPENDS_IN_FLIGHT)
 
-    def put(self, pending: Pending) -> None:
+    def put(self, pending: PendingAppend) -> None:
         """Queue `pending`, unless it is queued, being sent or settled."""
         if pending.queued or pending.sending or pending.verdict:
             return
@@ -132,7 +132,7 @@
         if pending.lazy:
             self.lazy.append(pending)
             due = trio.current_time() + MAX_LAZY_WAIT_SECONDS
-            self.lazy_at = min(self.lazy_at, due)
+            self.lazy_due_at = min(self.lazy_due_at, due)
         else:
             self.urgent.append(pending)
         self.queued_event.set()
@@ -142,37 +142,37 @@
         async with trio.open_nursery() as nursery:
             while True:
                 await self._wait_until_due()
-                await self.slots.acquire()
+                await self.append_slots.acquire()
                 await self.rate_limiter.acquire()
                 nursery.start_soon(self._append, self._next_batch())
 
     async def _wait_until_due(self) -> None:
-        while not self.urgent and trio.current_time() < self.lazy_at:
+        while not self.urgent and trio.current_time() < self.lazy_due_at:
             self.queued_event = trio.Event()
-            with trio.move_on_at(self.lazy_at):
+            with trio.move_on_at(self.lazy_due_at):
                 await self.queued_event.wait()
 
-    def _next_batch(self) -> list[Pending]:
-        batch: list[Pending] = []
+    def _next_batch(self) -> list[PendingAppend]:
+        batch: list[PendingAppend] = []
         for queue in (self.urgent, self.lazy):
             while queue and len(batch) < self.settings.claims.max_batch:
                 pending = queue.popleft()
                 pending.queued = False
-                if pending.wanted:
+                if pending.is_wanted:
                     pending.sending = True
                     batch.append(pending)
         if not self.lazy:
-            self.lazy_at = math.inf
+            self.lazy_due_at = math.inf
         return batch
 
-    async def _append(self, batch: list[Pending]) -> None:
+    async def _append(self, batch: list[PendingAppend]) -> None:
         try:
             if batch:
                 await self._append_batch(batch)
         finally:
-            self.slots.release()
+            self.append_slots.release()
 
-    async def _append_batch(self, batch: list[Pending]) -> None:
+    async def _append_batch(self, batch: list[PendingAppend]) -> None:
         payload = codec.encode(Batch([pending.entry for pending in batch]))
         timeout = self.settings.platform.log.timeout_seconds
         deadline = Deadline(trio.current_time() + timeout)
@@ -197,10 +197,10 @@
                 pending.sending = False
             self.listener.on_appended(offset, payload)
 
-    def _fail(self, batch: list[Pending]) -> None:
+    def _fail(self, batch: list[PendingAppend]) -> None:
         """Fail claims that cannot be in the log; retry all other entries."""
         self.listener.on_log_failed()
-        waiting = [pending for pending in self.urgent if pending.wanted]
+        waiting = [pending for pending in self.urgent if pending.is_wanted]
         self.urgent.clear()
         retried = []
         for pending in batch + waiting:
@@ -211,16 +211,16 @@
                 pending.settle(Verdict(VerdictKind.FAILED))
         self._retry(retried, self._retry_at())
 
-    def _retry(self, batch: list[Pending], at: Deadline) -> None:
+    def _retry(self, batch: list[PendingAppend], at: Deadline) -> None:
         self.rate_limiter.pause_until(at)
         for pending in batch:
             pending.sending = False
-            if pending.wanted:
+            if pending.is_wanted:
                 self.put(pending)
 
     def _retry_at(self) -> Deadline:
         return Deadline(trio.current_time() + RETRY_SECONDS)
 
-    def _count(self, result: str, batch: list[Pending]) -> None:
+    def _count(self, result: str, batch: list[PendingAppend]) -> None:
         self.metrics.appends.inc({"kind": "claims", "result": result})
         self.metrics.appended_records.add({"kind": "claims"}, len(batch))
--- a/agatetack/claims/partition.py
+++ b/agatetack/claims/partition.py
@@ -11,7 +11,7 @@
     RETRY_SECONDS,
     Appender,
     AppendListener,
-    Pending,
+    PendingAppend,
 )
 from agatetack.claims.fold import MS_PER_SECOND, Fold
 from agatetack.claims.rate_limiter import AppendRateLimiter
@@ -37,7 +37,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class PendingId:
+class PendingAppendId:
     """Identifies an entry that waits for its verdict."""
 
     kind: int
@@ -90,7 +90,7 @@
         self.last_complete_read_at = Deadline(-math.inf)
         self.read_scope = trio.CancelScope()
         self.read_requested = trio.Event()
-        self.pending: dict[PendingId, Pending] = {}
+        self.pending: dict[PendingAppendId, PendingAppend] = {}
         self.positions: collections.deque[Position] = collections.deque(
             maxlen=MAX_POSITIONS
         )
@@ -127,38 +127,38 @@
         """
         if not self.ready:
             return [Verdict(VerdictKind.NOT_READY) for _ in entries]
-        wanted = [self.watch(entry) for entry in entries]
-        for pending in wanted:
+        pending_appends = [self.watch(entry) for entry in entries]
+        for pending in pending_appends:
             self.appender.put(pending)
         try:
             with trio.move_on_at(deadline):
-                for pending in wanted:
+                for pending in pending_appends:
                     await pending.settled.wait()
         finally:
-            for pending in wanted:
+            for pending in pending_appends:
                 self.unwatch(pending)
         return [
             pending.verdict or Verdict(VerdictKind.IN_DOUBT)
-            for pending in wanted
+            for pending in pending_appends
         ]
 
-    def watch(self, entry: Entry) -> Pending:
+    def watch(self, entry: Entry) -> PendingAppend:
         """Return an object that gets the verdict once `entry` is folded."""
-        name = PendingId(entry.kind, entry.attempt)
+        name = PendingAppendId(entry.kind, entry.attempt)
         pending = self.pending.get(name)
         if pending is None:
-            pending = Pending(entry)
+            pending = PendingAppend(entry)
             self.pending[name] = pending
             if self.ready and self.fold.has(entry):
                 pending.settle(self.fold.verdict_on(entry))
         pending.waiters += 1
         return pending
 
-    def unwatch(self, pending: Pending) -> None:
+    def unwatch(self, pending: PendingAppend) -> None:
         """Stop waiting; an entry that nobody waits for is not sent any more."""
         pending.waiters -= 1
         if not pending.waiters:
-            name = PendingId(pending.entry.kind, pending.entry.attempt)
+            name = PendingAppendId(pending.entry.kind, pending.entry.attempt)
             del self.pending[name]
 
     def on_appended(self, offset: LogOffset, payload: bytes) -> None:
@@ -271,7 +271,7 @@
         self.positions.append(Position(now, self.fold.next))
 
     def _settle_waiter(self, entry: Entry) -> None:
-        pending = self.pending.get(PendingId(entry.kind, entry.attempt))
+        pending = self.pending.get(PendingAppendId(entry.kind, entry.attempt))
         if pending is not None and self.ready:
             pending.settle(self.fold.verdict_on(entry))
 
--- a/agatetack/claims/recorder.py
+++ b/agatetack/claims/recorder.py
@@ -10,13 +10,13 @@
 from agatetack.metrics import Metrics
 from agatetack.settings.model import Settings
 
-MAX_OPEN = 20_000
+MAX_OPEN_ENTRIES = 20_000
 """Most entries of this host that may wait for the log."""
 
 RETRY_SECONDS = 0.2
 """Pause before an entry is submitted again."""
 
-UNSETTLED = frozenset(
+UNSETTLED_VERDICTS = frozenset(
     (VerdictKind.FAILED, VerdictKind.IN_DOUBT, VerdictKind.NOT_READY)
 )
 """Verdicts that do not show whether the entry is in the log."""
@@ -48,7 +48,7 @@
 
     def record(self, partition: Partition, entry: Entry) -> None:
         """Append `entry` in the background, retrying while its key is kept."""
-        if self.open_entries >= MAX_OPEN:
+        if self.open_entries >= MAX_OPEN_ENTRIES:
             self.dropped.inc({"reason": "too-many"})
         elif self.background.start(self._record, partition, entry):
             self.open_entries += 1
@@ -67,7 +67,7 @@
         try:
             while trio.current_time() < deadline:
                 verdict = await self.router.submit(partition, entry, deadline)
-                if verdict.kind not in UNSETTLED:
+                if verdict.kind not in UNSETTLED_VERDICTS:
                     return
                 await trio.sleep(RETRY_SECONDS)
             self.dropped.inc({"reason": "too-old"})
--- a/agatetack/claims/router.py
+++ b/agatetack/claims/router.py
@@ -6,7 +6,7 @@
 import trio
 import xxhash
 
-from agatetack.claims.appender import Pending
+from agatetack.claims.appender import PendingAppend
 from agatetack.claims.background import Background
 from agatetack.claims.coordinator_client import CoordinatorClient
 from agatetack.claims.partition import Partition
@@ -19,7 +19,7 @@
 AVOID_SECONDS = 2.0
 """How long a coordinator is avoided that did not append an entry."""
 
-USELESS = frozenset((VerdictKind.FAILED, VerdictKind.NOT_READY))
+NOT_APPENDED = frozenset((VerdictKind.FAILED, VerdictKind.NOT_READY))
 """Verdicts of a host that appended nothing."""
 
 
@@ -53,7 +53,7 @@
         self.background = background
         self.clients: dict[CoordinatorClientId, CoordinatorClient] = {}
         self.avoided: dict[HostId, Deadline] = {}
-        self.fallbacks = metrics.counter(
+        self.fallback_count = metrics.counter(
             "agatetack_claims_fallback_total",
             "Entries that a steward did not take, by reason.",
         )
@@ -75,14 +75,14 @@
     def coordinator(self, number: int) -> HostId | None:
         """Return the coordinator of a partition, or None for this host."""
         now = trio.current_time()
-        best = self._score(HostId(self.settings.host.id), number)
+        best_score = self._score(HostId(self.settings.host.id), number)
         coordinator = None
         for peer in self.exchange.live_peers():
             if peer.leaving or self.avoided.get(peer.id, -math.inf) > now:
                 continue
             score = self._score(peer.id, number)
-            if score > best:
-                best = score
+            if score > best_score:
+                best_score = score
                 coordinator = peer.id
         return coordinator
 
@@ -112,12 +112,12 @@
                 return await self._settle(partition, pending, deadline)
         finally:
             partition.unwatch(pending)
-        if pending.verdict is None and not pending.sent:
+        if pending.verdict is None and not pending.maybe_sent:
             return Verdict(VerdictKind.FAILED)
         return pending.verdict or Verdict(VerdictKind.IN_DOUBT)
 
     async def _settle(
-        self, partition: Partition, pending: Pending, deadline: Deadline
+        self, partition: Partition, pending: PendingAppend, deadline: Deadline
     ) -> Verdict:
         while pending.verdict is None:
             coordinator = self.coordinator(partition.number)
@@ -126,7 +126,7 @@
             verdict = await self._send(coordinator, partition, pending)
             if verdict is None:
                 self._avoid(coordinator, "no-answer")
-            elif verdict.kind in USELESS:
+            elif verdict.kind in NOT_APPENDED:
                 name = VerdictKind._VALUES_TO_NAMES[verdict.kind]
                 self._avoid(coordinator, name)
             elif verdict.kind != VerdictKind.IN_DOUBT:
@@ -134,17 +134,17 @@
         return pending.verdict
 
     async def _append_here(
-        self, partition: Partition, pending: Pending, deadline: Deadline
+        self, partition: Partition, pending: PendingAppend, deadline: Deadline
     ) -> Verdict:
         [verdict] = await partition.submit([pending.entry], deadline)
-        if verdict.kind == VerdictKind.NOT_READY and pending.sent:
+        if verdict.kind == VerdictKind.NOT_READY and pending.maybe_sent:
             # An append by a coordinator may yet succeed and be read here.
             await pending.settled.wait()
             return pending.verdict
         return verdict
 
     async def _send(
-        self, coordinator: HostId, partition: Partition, pending: Pending
+        self, coordinator: HostId, partition: Partition, pending: PendingAppend
     ) -> Verdict | None:
         """Return the coordinator's verdict, or None if it did not answer.
 
@@ -161,7 +161,7 @@
             )
             verdict = await client.send(pending.entry)
             nursery.cancel_scope.cancel()
-        if verdict is not None and verdict.kind in USELESS:
+        if verdict is not None and verdict.kind in NOT_APPENDED:
             pending.in_doubt = sent_before
         return pending.verdict or verdict
 
@@ -178,13 +178,13 @@
         return self.clients[name]
 
     def _avoid(self, coordinator: HostId, reason: str) -> None:
-        self.fallbacks.inc({"reason": reason.lower().replace("_", "-")})
+        self.fallback_count.inc({"reason": reason.lower().replace("_", "-")})
         until = Deadline(trio.current_time() + AVOID_SECONDS)
         self.avoided[coordinator] = until
 
 
 async def _cancel_when_settled(
-    pending: Pending, scope: trio.CancelScope
+    pending: PendingAppend, scope: trio.CancelScope
 ) -> None:
     await pending.settled.wait()
     scope.cancel()
