--- a/agatetack/claims/inquiry.py
+++ b/agatetack/claims/inquiry.py
@@ -30,7 +30,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Asked:
+class PendingQuestion:
     """A question that is sent to all peers.
 
     Attributes:
@@ -65,31 +65,31 @@
         self.partitions = partitions
         self.open_keys = open_keys
         self.background = background
-        self.waiting: list[Asked] = []
-        self.asking = False
+        self.queue: list[PendingQuestion] = []
+        self.is_asking = False
 
-    async def unused(self, number: int, key: bytes) -> bool:
+    async def unused(self, partition_number: int, key: bytes) -> bool:
         """Return whether no other attempt of `key` ran or can still run.
 
         It is also False if not every host could be asked.
         """
-        if not self._all_seen():
+        if not self._all_hosts_live():
             return False
-        asked = Asked(Question(partition=number, key=key))
-        self.waiting.append(asked)
-        if not self.asking:
-            self.asking = self.background.start(self._ask_while_waiting)
+        pending = PendingQuestion(Question(partition=partition_number, key=key))
+        self.queue.append(pending)
+        if not self.is_asking:
+            self.is_asking = self.background.start(self._ask_while_queued)
         timeout = self.settings.claims.steward_timeout_seconds
         with trio.move_on_after(MAX_ROUNDS * timeout):
-            await asked.answered.wait()
-        return asked.unused
+            await pending.answered.wait()
+        return pending.unused
 
     def answer(self, inquiry: Inquiry) -> list[Verdict]:
         """Answer a peer; a key that is answered as free is blocked here."""
         questions = inquiry.questions or []
         return [self._answer(question) for question in questions]
 
-    def _all_seen(self) -> bool:
+    def _all_hosts_live(self) -> bool:
         seen = len(self.exchange.live_peers()) + 1
         return seen >= self.exchange.fleet_size()
 
@@ -108,21 +108,21 @@
             return Verdict(VerdictKind.NOT_READY)
         return known
 
-    async def _ask_while_waiting(self) -> None:
+    async def _ask_while_queued(self) -> None:
         try:
-            while self.waiting:
-                round_of = self.waiting[: self.settings.claims.max_batch]
-                del self.waiting[: len(round_of)]
-                await self._ask(round_of)
+            while self.queue:
+                batch = self.queue[: self.settings.claims.max_batch]
+                del self.queue[: len(batch)]
+                await self._ask(batch)
         finally:
-            self.asking = False
+            self.is_asking = False
 
-    async def _ask(self, round_of: list[Asked]) -> None:
+    async def _ask(self, batch: list[PendingQuestion]) -> None:
         timeout = self.settings.claims.steward_timeout_seconds
         deadline = Deadline(trio.current_time() + timeout)
-        inquiry = Inquiry([asked.question for asked in round_of])
-        replies = [[self._own_answer(asked.question) for asked in round_of]]
-        complete = self._all_seen()
+        inquiry = Inquiry([pending.question for pending in batch])
+        replies = [[self._own_answer(pending.question) for pending in batch]]
+        complete = self._all_hosts_live()
         async with trio.open_nursery() as nursery:
             for peer in self.exchange.live_peers():
                 nursery.start_soon(
@@ -130,10 +130,10 @@
                 )
             peers = len(self.exchange.live_peers())
         complete = complete and len(replies) == peers + 1
-        for index, asked in enumerate(round_of):
+        for index, pending in enumerate(batch):
             kinds = {reply[index].kind for reply in replies}
-            asked.unused = complete and _is_free(kinds)
-            asked.answered.set()
+            pending.unused = complete and _is_unused(kinds)
+            pending.answered.set()
 
     def _own_answer(self, question: Question) -> Verdict:
         partition = self.partitions[question.partition]
@@ -160,7 +160,7 @@
         replies.append(verdicts)
 
 
-def _is_free(kinds: set[int]) -> bool:
+def _is_unused(kinds: set[int]) -> bool:
     """Return whether no host knows a claim and one read the whole stream."""
     return VerdictKind.FREE in kinds and kinds <= {
         VerdictKind.FREE,
--- a/agatetack/claims/log_store.py
+++ b/agatetack/claims/log_store.py
@@ -34,7 +34,7 @@
 from agatetack.record_log.log import Log
 from agatetack.settings.model import Settings
 
-HOUSEKEEPING_SECONDS = 1.0
+HOUSEKEEPING_INTERVAL_SECONDS = 1.0
 """Interval at which keys that need not be remembered are dropped."""
 
 
@@ -93,10 +93,10 @@
             settings, self.partitions, self.inquiries
         )
         self.call_handler.serve(exchange)
-        self.verdicts = metrics.counter(
+        self.verdict_count = metrics.counter(
             "agatetack_claims_total", "Claims that were judged, by verdict."
         )
-        self.keys = metrics.gauge(
+        self.key_count = metrics.gauge(
             "agatetack_claims_keys", "Keys remembered, by partition."
         )
 
@@ -117,7 +117,7 @@
             for partition in self.partitions:
                 nursery.start_soon(partition.run)
                 nursery.start_soon(self.reappender.run, partition)
-            nursery.start_soon(self._keep_house)
+            nursery.start_soon(self._run_housekeeping)
             task_status.started()
 
     @property
@@ -129,26 +129,26 @@
         """Wait until all outcomes are in the log; return whether they are."""
         return await self.recorder.flush(deadline)
 
-    async def _keep_house(self) -> None:
+    async def _run_housekeeping(self) -> None:
         max_seconds = self.settings.callers.max_deadline_seconds
         while True:
-            await trio.sleep(HOUSEKEEPING_SECONDS)
+            await trio.sleep(HOUSEKEEPING_INTERVAL_SECONDS)
             oldest = Deadline(trio.current_time() - max_seconds)
             self.open_keys.purge_blocks(oldest)
             for partition in self.partitions:
                 self.open_keys.purge(partition)
                 label = {"partition": str(partition.number)}
-                self.keys.set(label, len(partition.fold))
+                self.key_count.set(label, len(partition.fold))
 
     async def claim(
         self, route: Route, request: CallerRequest, attempt: AttemptId
     ) -> Result[Claim, Refusal]:
         """Return permission to dispatch, or why the request is refused."""
-        read = read_key(self.settings, route, request)
-        if isinstance(read, Failure):
-            return read
-        key = read.unwrap()
-        known = self._look(key, request)
+        parsed = read_key(self.settings, route, request)
+        if isinstance(parsed, Failure):
+            return parsed
+        key = parsed.unwrap()
+        known = self._local_refusal(key, request)
         if known is not None:
             return Failure(known)
         held = HeldClaim(route.id, request.key, attempt, key, request.deadline)
@@ -187,14 +187,16 @@
         self.recorder.record(partition, entry)
         return False
 
-    def _look(self, key: RequestKey, request: CallerRequest) -> Refusal | None:
+    def _local_refusal(
+        self, key: RequestKey, request: CallerRequest
+    ) -> Refusal | None:
         """Return a refusal if this host's own state requires one, or None."""
         partition = self.partitions[key.partition]
         retry_at = self._retry_at()
         known = partition.fold.lookup(key.digest, key.fingerprint)
         if known.kind != VerdictKind.FREE:
             return refusals.key_taken(known, self.clock.wall(), retry_at)
-        if self._expired(partition, key):
+        if self._is_expired(partition, key):
             return refusals.expired()
         if self._is_blocked(key, request):
             return refusals.in_doubt(retry_at)
@@ -226,17 +228,17 @@
         try:
             verdict = await self.router.submit(partition, entry, held.deadline)
         except trio.Cancelled:
-            self._abandon(held)
+            self._void_claim(held)
             raise
         name = VerdictKind._VALUES_TO_NAMES[verdict.kind]
-        self.verdicts.inc({"verdict": name.lower().replace("_", "-")})
+        self.verdict_count.inc({"verdict": name.lower().replace("_", "-")})
         if verdict.kind != VerdictKind.GRANTED:
             return Failure(await self._refusal(held, verdict))
-        if self._too_late(held, entry):
-            return Failure(self._abandon(held))
+        if self._is_past_deadline(held, entry):
+            return Failure(self._void_claim(held))
         return Success(held)
 
-    def _too_late(self, held: HeldClaim, entry: Entry) -> bool:
+    def _is_past_deadline(self, held: HeldClaim, entry: Entry) -> bool:
         """Return whether the request's deadline has passed on either clock.
 
         The monotonic clock may stop while a host is suspended.
@@ -249,7 +251,7 @@
             reason = RefusalReason.LOG_UNAVAILABLE
             return await self._not_claimed(held, reason)
         if verdict.kind in (VerdictKind.IN_DOUBT, VerdictKind.DEAD):
-            return self._abandon(held)
+            return self._void_claim(held)
         retry_at = self._retry_at()
         return refusals.key_taken(verdict, self.clock.wall(), retry_at)
 
@@ -260,7 +262,7 @@
         unused = await self.inquiries.unused(key.partition, key.digest)
         return refusals.not_claimed(reason, unused, self._retry_at())
 
-    def _abandon(self, held: HeldClaim) -> Refusal:
+    def _void_claim(self, held: HeldClaim) -> Refusal:
         """Void the claim in the background and refuse as "unknown"."""
         entry = self._entry(held, EntryKind.RELEASE)
         self.recorder.record(self._partition_of(held), entry)
@@ -270,7 +272,7 @@
         claims = self.settings.claims
         return -(-claims.max_keys // claims.partitions)
 
-    def _expired(self, partition: Partition, key: RequestKey) -> bool:
+    def _is_expired(self, partition: Partition, key: RequestKey) -> bool:
         """Return whether the key may have been used and forgotten.
 
         Keys are kept for two windows. The second one allows for differences
