--- a/agatetack/claims/test_chaos.py
+++ b/agatetack/claims/test_chaos.py
@@ -53,22 +53,22 @@
         self.nursery = nursery
         self.random = random.Random(seed)
         self.stores = []
-        self.lives = []
+        self.request_scopes = []
         self.mesh = self.fleet.mesh = LossyMesh(nursery)
         self.histories = {f"k{n}": KeyHistory() for n in range(KEYS)}
 
     async def start(self):
         for _ in range(4):
             self.stores.append(await self.fleet.add())
-            self.lives.append(set())
+            self.request_scopes.append(set())
 
     async def send(self, key, body):
         """Send one request to a host, which may be killed meanwhile."""
         number = self.random.randrange(len(self.stores))
         with trio.CancelScope() as scope:
-            self.lives[number].add(scope)
+            self.request_scopes[number].add(scope)
             await self.serve(self.stores[number], key, body)
-        self.lives[number].discard(scope)
+        self.request_scopes[number].discard(scope)
 
     async def serve(self, store, key, body):
         """Handle a request as a host does."""
@@ -97,16 +97,22 @@
             self.nursery.start_soon(self.send, key, b"1")
             await trio.sleep(self.random.choice([0, 0.001, 0.1, 0.5, 3]))
 
-    async def break_things(self):
+    async def inject_faults(self):
         """Inject one fault after the other, and sometimes two at once."""
         while True:
             await trio.sleep(self.random.uniform(0, 0.4))
             fault = self.random.choice(
-                [self.spoil, self.cut_log, self.freeze, self.isolate, self.kill]
+                [
+                    self.fault_appends,
+                    self.cut_log,
+                    self.freeze,
+                    self.isolate,
+                    self.kill,
+                ]
             )
             self.nursery.start_soon(fault)
 
-    async def spoil(self):
+    async def fault_appends(self):
         client = self.random.choice(self.fleet.clients)
         client.faults.late_seconds = self.random.uniform(0, 3)
         client.faults.next_appends += self.random.choices(APPEND_FAULTS, k=3)
@@ -137,10 +143,13 @@
         if name in self.mesh.dead:
             return
         self.mesh.dead.add(name)
-        scopes = [*self.lives[number], self.fleet.scopes[int(name[1:])]]
+        scopes = [
+            *self.request_scopes[number],
+            self.fleet.scopes[int(name[1:])],
+        ]
         for scope in scopes:
             scope.cancel()
-        self.lives[number] = set()
+        self.request_scopes[number] = set()
         self.stores[number] = await self.fleet.add()
         await trio.sleep(1)
         del self.mesh.hosts[name]
@@ -150,7 +159,7 @@
         for key in self.histories:
             self.nursery.start_soon(self.call, key)
         with trio.move_on_after(SECONDS):
-            await self.break_things()
+            await self.inject_faults()
         await trio.sleep(20)
 
 
@@ -163,8 +172,8 @@
     histories = chaos.histories.values()
     assert max(len(history.runs) for history in histories) == 1
     for key, history in chaos.histories.items():
-        for said in history.not_run:
-            assert not [at for at in history.runs if at <= said], key
+        for answered_at in history.not_run:
+            assert not [at for at in history.runs if at <= answered_at], key
     # Enough requests must have run and been refused despite the faults.
     assert sum(len(history.runs) for history in histories) > KEYS / 4
     assert sum(len(history.not_run) for history in histories) > KEYS / 30
