--- a/agatetack/claims/coordinator_client.py
+++ b/agatetack/claims/coordinator_client.py
@@ -91,7 +91,7 @@
             self.background.start(self._call_while_queued)
 
     def _start_later(self) -> None:
-        """Delay entries that nobody waits for, to batch them with others."""
+        """Delay entries that no response depends on, to batch them."""
         if not self.lazy_due:
             self.lazy_due = True
             self.background.start(self._start_lazy)
--- a/agatetack/claims/fold.py
+++ b/agatetack/claims/fold.py
@@ -89,7 +89,7 @@
         keys: The state of each key that is free or held.
         done_dated: Dated keys that are done; they never change again.
         done_undated: Keys without a time of issue that are done.
-        expiries: Keys by the minute after which they may be forgotten.
+        expiries: Keys by the minute after which they expire.
         held_writes: When records of held, undated keys were written, in order.
     """
 
@@ -264,7 +264,7 @@
     def _set_expiry(
         self, key: bytes, state: KeyState, claimed_ms: int, dated: bool
     ) -> None:
-        """Set the times from which and for how long the key is kept."""
+        """Set the time of the claim and schedule the expiry of the key."""
         self._cancel_expiry(key, state)
         state.claimed_ms = claimed_ms
         state.dated = dated
--- a/agatetack/claims/partition.py
+++ b/agatetack/claims/partition.py
@@ -155,7 +155,7 @@
         return pending
 
     def unwatch(self, pending: PendingAppend) -> None:
-        """Stop waiting; an entry that nobody waits for is not sent any more."""
+        """Stop waiting; an entry without waiters is not sent any more."""
         pending.waiters -= 1
         if not pending.waiters:
             name = PendingAppendId(pending.entry.kind, pending.entry.attempt)
--- a/agatetack/claims/recorder.py
+++ b/agatetack/claims/recorder.py
@@ -23,7 +23,7 @@
 
 
 class Recorder:
-    """Appends entries that nobody waits for, with retries.
+    """Appends entries that no request waits for, with retries.
 
     Attributes:
         open_entries: Number of entries that are not in the log yet.
--- a/agatetack/claims/router.py
+++ b/agatetack/claims/router.py
@@ -17,7 +17,7 @@
 from agatetack.settings.model import Settings
 
 AVOID_SECONDS = 2.0
-"""How long a coordinator is avoided that did not append an entry."""
+"""How long a coordinator is avoided after it failed to append an entry."""
 
 NOT_APPENDED = frozenset((VerdictKind.FAILED, VerdictKind.NOT_READY))
 """Verdicts of a host that appended nothing."""
