--- a/agatetack/claims/background.py
+++ b/agatetack/claims/background.py
@@ -5,7 +5,7 @@
 import trio
 
 
-class Background:
+class BackgroundTasks:
     """Tasks that run as long as the claim store does."""
 
     def __init__(self) -> None:
--- a/agatetack/claims/coordinator_client.py
+++ b/agatetack/claims/coordinator_client.py
@@ -7,7 +7,7 @@
 
 from agatetack.claims import codec
 from agatetack.claims.appender import LAZY_KINDS, MAX_LAZY_WAIT_SECONDS
-from agatetack.claims.background import Background
+from agatetack.claims.background import BackgroundTasks
 from agatetack.generated.claims.ttypes import (
     Call,
     Entry,
@@ -57,7 +57,7 @@
         self,
         settings: Settings,
         exchange: Exchange,
-        background: Background,
+        background: BackgroundTasks,
         coordinator: HostId,
         partition: int,
     ):
--- a/agatetack/claims/inquiry.py
+++ b/agatetack/claims/inquiry.py
@@ -10,7 +10,7 @@
 import trio
 
 from agatetack.claims import codec
-from agatetack.claims.background import Background
+from agatetack.claims.background import BackgroundTasks
 from agatetack.claims.open_keys import OpenKeys
 from agatetack.claims.partition import Partition
 from agatetack.generated.claims.ttypes import (
@@ -57,7 +57,7 @@
         exchange: Exchange,
         partitions: list[Partition],
         open_keys: OpenKeys,
-        background: Background,
+        background: BackgroundTasks,
     ):
         """Ask the peers of `exchange`."""
         self.settings = settings
--- a/agatetack/claims/log_store.py
+++ b/agatetack/claims/log_store.py
@@ -6,7 +6,7 @@
 from returns.result import Failure, Result, Success
 
 from agatetack.claims import refusals
-from agatetack.claims.background import Background
+from agatetack.claims.background import BackgroundTasks
 from agatetack.claims.call_handler import ClaimCallHandler
 from agatetack.claims.fold import MS_PER_SECOND
 from agatetack.claims.inquiry import Inquiries
@@ -71,7 +71,7 @@
         """Set up the parts; nothing is read or written before `run`."""
         self.settings = settings
         self.clock = clock
-        self.background = Background()
+        self.background = BackgroundTasks()
         self.router = Router(settings, exchange, metrics, self.background)
         self.partitions = [
             self._partition(number, log, metrics)
--- a/agatetack/claims/recorder.py
+++ b/agatetack/claims/recorder.py
@@ -2,7 +2,7 @@
 
 import trio
 
-from agatetack.claims.background import Background
+from agatetack.claims.background import BackgroundTasks
 from agatetack.claims.partition import Partition
 from agatetack.claims.router import Router
 from agatetack.generated.claims.ttypes import Entry, VerdictKind
@@ -34,7 +34,7 @@
         settings: Settings,
         router: Router,
         metrics: Metrics,
-        background: Background,
+        background: BackgroundTasks,
     ):
         """Append through `router`."""
         self.settings = settings
--- a/agatetack/claims/router.py
+++ b/agatetack/claims/router.py
@@ -7,7 +7,7 @@
 import xxhash
 
 from agatetack.claims.appender import PendingAppend
-from agatetack.claims.background import Background
+from agatetack.claims.background import BackgroundTasks
 from agatetack.claims.coordinator_client import CoordinatorClient
 from agatetack.claims.partition import Partition
 from agatetack.generated.claims.ttypes import Entry, Verdict, VerdictKind
@@ -45,7 +45,7 @@
         settings: Settings,
         exchange: Exchange,
         metrics: Metrics,
-        background: Background,
+        background: BackgroundTasks,
     ):
         """Choose among this host and the peers of `exchange`."""
         self.settings = settings
--- a/agatetack/claims/test_log_store.py
+++ b/agatetack/claims/test_log_store.py
@@ -163,7 +163,9 @@
         assert trio.current_time() - started < 0.5
 
 
-async def test_vouched_key_is_barred_for_older_requests(autojump_clock, fleet):
+async def test_key_reported_unused_is_blocked_for_older_requests(
+    autojump_clock, fleet
+):
     asker, other = [await fleet.add() for _ in range(2)]
     cut_log(fleet)
     await trio.sleep(1.5)
