--- a/agatetack/targets/__init__.py
+++ b/agatetack/targets/__init__.py
@@ -1,1 +1,1 @@
-"""Hold connections to targets and call them over HTTP."""
+"""Manage targets and their connections, and call them over HTTP."""
--- a/agatetack/targets/answer_check.py
+++ b/agatetack/targets/answer_check.py
@@ -1,11 +1,12 @@
-"""Tell a target's own answer to a request from anything else."""
+"""Check that a response comes from the target and is for the request."""
 
 from agatetack.messages import CallerRequest, Header, find_header
 from agatetack.settings.model import Settings
 from agatetack.targets.parser import AnswerParser
 
 OTHER_INSTANCE_STATUS = 421
-"""The address belongs to another instance now (RFC 9110, 15.5.20)."""
+"""Misdirected Request (RFC 9110, 15.5.20): another instance now has this
+address."""
 
 LEAST_FAILURE = 400
 LEAST_SUCCESS = 200
@@ -13,16 +14,18 @@
 
 
 class AnswerCheck:
-    """What the settings say of targets' answers.
+    """Checks responses by the headers that the settings name.
 
     Attributes:
-        request_id_name: The header with the request's id, or None.
-        signature_name: The header of each answer of a target, or None.
+        request_id_name: The header that echoes the request id, or None.
+        signature_name: The header that all responses of targets have, or None.
         instance_name: The header that names an instance, or None.
+        not_run_name: The header that says whether the request was run.
+        not_run_value: Its value if not run; None if any value says so.
     """
 
     def __init__(self, settings: Settings):
-        """Read the names of headers."""
+        """Read the header names from `settings`."""
         names = settings.targets.headers
         self.request_id_name = encode_name(names.request_id)
         self.signature_name = encode_name(names.signature)
@@ -31,13 +34,13 @@
         self.not_run_value = encode_name(settings.targets.not_run_value)
 
     def echo(self, request: CallerRequest) -> Header | None:
-        """Return the header that the answer to `request` bears, if any."""
+        """Return the header that the response to `request` echoes, if any."""
         if self.request_id_name is None:
             return None
         return Header(self.request_id_name, request.request_id.encode())
 
     def is_not_run(self, parser: AnswerParser) -> bool:
-        """Return whether the target says that it did not run the request."""
+        """Return whether the target reports that it did not run the request."""
         if parser.status < LEAST_FAILURE:
             return False
         if self.is_other_instance(parser):
@@ -48,15 +51,15 @@
         return mark == self.not_run_value
 
     def is_other_instance(self, parser: AnswerParser) -> bool:
-        """Return whether the address belongs to another instance now."""
+        """Return whether another instance now has the target's address."""
         named = self.instance_name is not None
         return named and parser.status == OTHER_INSTANCE_STATUS
 
     def is_sound(self, parser: AnswerParser) -> bool:
-        """Return whether this can be the answer to the request.
+        """Return whether this can be the response to the request.
 
-        A success needs the target's signature. A failure that says nothing
-        of a request is taken only if it says that none was run.
+        A success must carry the target's signature header. A response without
+        a request id is accepted only if it reports that nothing was run.
         """
         if parser.unnamed and not self.is_not_run(parser):
             return False
@@ -68,5 +71,5 @@
 
 
 def encode_name(name: str | None) -> bytes | None:
-    """Return a header's name, or None where the settings give none."""
+    """Return the encoded header name, or None if it is not configured."""
     return None if name is None else name.encode()
--- a/agatetack/targets/body.py
+++ b/agatetack/targets/body.py
@@ -1,4 +1,4 @@
-"""Stream the body of a target's answer."""
+"""Stream the body of a target's response."""
 
 import trio
 
@@ -8,16 +8,16 @@
 from agatetack.targets.pool import TargetPool
 
 DROP_SECONDS = 0.02
-"""Longest wait for the rest of a body that nobody needs; a short one comes
-with its header."""
+"""Maximum wait for the rest of a body that is not needed; a short body arrives
+together with its header."""
 
 
 class TargetBody(Body):
-    """An answer's body, read from its connection as it is asked for.
+    """A response body that is read from its connection on demand.
 
-    The connection goes back to its pool at the verified end, and is closed
-    in every other case, so that no byte of this answer can be taken for
-    another's.
+    The connection returns to its pool at the verified end of the body and is
+    closed in every other case, so that no byte of this response can be taken
+    for part of the next one.
     """
 
     def __init__(
@@ -28,14 +28,14 @@
         reusable: bool,
         byte_timeout_seconds: float,
     ):
-        """Read the rest of `parser`'s answer from `connection`.
+        """Read the rest of the response in `parser` from `connection`.
 
         Args:
-            connection: Where the bytes come from.
-            pool: Where the connection goes back to.
+            connection: The connection that the response arrives on.
+            pool: The pool of the connection.
             parser: The parser that has read the header.
-            reusable: Whether the request was sent whole.
-            byte_timeout_seconds: Longest time without a byte.
+            reusable: Whether the request was sent completely.
+            byte_timeout_seconds: Maximum time without a byte.
         """
         self.length = parser.length
         self.connection = connection
@@ -48,7 +48,7 @@
         self._settle_if_complete()
 
     def receive_nowait(self) -> bytes | None:
-        """Return bytes received already, or None."""
+        """Return bytes that were already received, or None."""
         parts = self.parser.parts
         if not parts:
             return None
@@ -58,7 +58,7 @@
         return data
 
     def take_whole(self) -> bytes | None:
-        """Return the whole body if it came with the header."""
+        """Return the complete body if it was received with the header."""
         if self.taken or self.parser.state is not AnswerState.COMPLETE:
             return None
         return self.receive_nowait() or b""
@@ -78,7 +78,7 @@
                 return b""
             if self.parser.state is AnswerState.BROKEN or self.settled:
                 self._settle(reuse=False)
-                raise AnswerCut("the answer ended before its end")
+                raise AnswerCut("the response body is incomplete")
             await self._receive_more()
 
     async def _receive_more(self) -> None:
@@ -105,7 +105,7 @@
             self.pool.discard(self.connection)
 
     async def drop(self) -> None:
-        """Read the rest of a short body, so that the connection is kept."""
+        """Discard a short body, so that the connection can be reused."""
         with trio.move_on_after(DROP_SECONDS):
             while self.parser.state is AnswerState.BODY and not self.settled:
                 self.parser.parts.clear()
@@ -114,5 +114,5 @@
         await self.aclose()
 
     async def aclose(self) -> None:
-        """Close the connection unless the body was read to its end."""
+        """Close the connection unless the body was read to the end."""
         self._settle(reuse=False)
--- a/agatetack/targets/client.py
+++ b/agatetack/targets/client.py
@@ -1,4 +1,4 @@
-"""Define how an attempt calls a target."""
+"""Define the interface for sending an attempt to a target."""
 
 import abc
 import dataclasses
@@ -11,7 +11,11 @@
 
 
 class Freshness(enum.Enum):
-    """Which connections an attempt may use."""
+    """Which connections an attempt may use.
+
+    `ANY` and `PROVEN` allow pooled connections that received a byte within
+    `idle_proof_seconds` or `proven_connection_seconds`; `NEW` allows none.
+    """
 
     ANY = "any"
     PROVEN = "proven"
@@ -20,12 +24,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class AttemptFailure:
-    """Why one attempt brought no answer.
+    """Why an attempt got no response.
 
     Attributes:
-        reason: What went wrong, as the caller would be told.
-        outcome: Whether the target can have run the request.
-        target_suspect: Whether it speaks against the target itself.
+        reason: The refusal reason that the caller would get.
+        outcome: Whether the target may have run the request.
+        target_suspect: Whether the target itself may be at fault.
     """
 
     reason: RefusalReason
@@ -34,32 +38,32 @@
 
     @property
     def sent(self) -> bool:
-        """Return whether the target may have seen anything of it."""
+        """Return whether any part of the request may have reached it."""
         return self.reason is not RefusalReason.TARGET_UNWILLING
 
 
 class AttemptFailed(Exception):
-    """One attempt brought no answer.
+    """An attempt got no response.
 
     Attributes:
-        failure: Why.
+        failure: The cause.
     """
 
     def __init__(self, failure: AttemptFailure):
-        """Keep why the attempt failed."""
+        """Wrap the cause of the failure."""
         super().__init__(failure.reason.value)
         self.failure = failure
 
 
 @dataclasses.dataclass(slots=True)
 class Attempt:
-    """One try at one target.
+    """One attempt to send a request to one target.
 
     Attributes:
-        id: Unique over all hosts and restarts.
+        id: Unique across all hosts and restarts.
         request: What to send.
         target: Where to send it.
-        deadline: When to give it up.
+        deadline: When to abandon the attempt.
         freshness: Which connections may be used.
     """
 
@@ -71,19 +75,19 @@
 
 
 class TargetClient(abc.ABC):
-    """A way to call targets."""
+    """Sends requests to targets."""
 
     @abc.abstractmethod
     async def call(self, attempt: Attempt) -> Answer:
-        """Send the request and return the answer once its headers are read.
+        """Send the request and return the response once its headers are read.
 
-        The answer's body is streamed from the target; closing the answer
-        before its end, or cancelling this call, cancels the request there by
-        closing the connection. Load reports and drain marks in the answer's
-        headers are noted in the target's state.
+        The response body is streamed from the target. Closing the response
+        before its end, or cancelling this call, closes the connection and so
+        cancels the request at the target. Load and draining state in the
+        response headers are recorded in the target's state.
 
         Raises:
-            AttemptFailed: No answer came. Its outcome is "not run" only if no
-                byte of the request can have reached the target, or the target
-                said that it shed the request.
+            AttemptFailed: There was no response. The outcome is "not run" only
+                if no byte of the request can have reached the target, or the
+                target responded that it shed the request.
         """
--- a/agatetack/targets/connection.py
+++ b/agatetack/targets/connection.py
@@ -1,4 +1,4 @@
-"""Hold one connection to one target."""
+"""Open and use a connection to a target."""
 
 import select
 
@@ -13,27 +13,27 @@
 
 
 class ConnectFailed(Exception):
-    """No connection could be opened; no byte was sent."""
+    """The connection could not be opened; no byte was sent."""
 
 
 class ConnectRefused(ConnectFailed):
-    """Nothing listens at the target's address any more."""
+    """Nothing listens at the target's address."""
 
 
 class TargetConnection:
-    """One connection; used for one request at a time.
+    """A connection that carries one request at a time.
 
     Attributes:
-        target: What it is connected to.
+        target: The target at the other end.
         opened_at: When it was opened.
-        last_byte_at: When the target last sent a byte, or the opening.
+        last_byte_at: When the last byte was received; at first `opened_at`.
         requests: Requests sent on it so far.
-        idle_seconds: How long the target keeps it idle, as it said, or None.
-        closed: Whether it was closed.
+        idle_seconds: The keep-alive timeout that the target announced, or None.
+        closed: Whether this host has closed it.
     """
 
     def __init__(self, target: TargetState, stream: PlainStream):
-        """Hold `stream`, which was just opened."""
+        """Wrap a newly opened `stream`."""
         self.target = target
         self.stream = stream
         self.opened_at = Deadline(trio.current_time())
@@ -43,10 +43,10 @@
         self.closed = False
 
     def is_quiet(self) -> bool:
-        """Return whether an idle connection has neither bytes nor its end.
+        """Return whether there is nothing to read, neither bytes nor the end.
 
-        Bytes that came while no request was open belong to no answer, so
-        the connection must not be used again.
+        Bytes received while no request is in progress belong to no response,
+        so the connection must not be reused.
         """
         poller = select.poll()
         poller.register(self.stream.sock.fileno(), select.POLLIN)
@@ -56,16 +56,16 @@
         """Send bytes.
 
         Raises:
-            trio.BrokenResourceError: The connection is lost.
+            trio.BrokenResourceError: The connection was lost.
         """
         await self.stream.send_all(data)
 
     async def receive_into(self, parser: AnswerParser) -> None:
-        """Receive once and give the bytes, or the end, to `parser`."""
+        """Receive once and pass the bytes, or the end, to `parser`."""
         try:
             data = await self.stream.receive_some(RECEIVE_BYTES)
         except trio.BrokenResourceError:
-            # A reset is no proper end of an answer without a length.
+            # A reset is not a valid end of a response without a length.
             parser.lose()
             return
         if data:
@@ -75,7 +75,7 @@
             parser.end()
 
     def receive_nowait_into(self, parser: AnswerParser) -> None:
-        """Give what is here to `parser`, without waiting for more."""
+        """Pass bytes already received to `parser` without waiting."""
         try:
             data = self.stream.receive_nowait()
         except trio.BrokenResourceError:
@@ -85,7 +85,7 @@
             parser.feed(data)
 
     def close(self) -> None:
-        """Close at once; a request that is open there is cancelled by it."""
+        """Close at once, which cancels a request in progress."""
         if not self.closed:
             self.closed = True
             self.stream.close()
@@ -97,7 +97,7 @@
     """Open a connection to `target` before `deadline`.
 
     Raises:
-        ConnectFailed: It was refused, or did not open in time.
+        ConnectFailed: It was refused or failed, or the deadline passed.
     """
     try:
         with trio.move_on_at(deadline):
--- a/agatetack/targets/counters.py
+++ b/agatetack/targets/counters.py
@@ -1,22 +1,22 @@
-"""Count what becomes of targets."""
+"""Count events of targets."""
 
 from agatetack.metrics import Metrics
 from agatetack.targets.leaving import LeavingSign
 
 
 class TargetCounters:
-    """Counters of the targets' signs, slowness and returns.
+    """Metrics of leaving, slow, cold and usable targets.
 
     Attributes:
-        signs: Signs of leaving.
+        signs: Signs that a target is leaving.
         slow: Times that a target was found slow.
-        returned: Targets that got work again.
-        usable: Targets that may get work now.
+        returned: Targets that got new work again after such a sign.
+        usable: Targets that may get new work now.
         warmth: Times that a target was found cold, or warm again.
     """
 
     def __init__(self, metrics: Metrics):
-        """Register the counters, each sign at 0."""
+        """Register the metrics and create a series at 0 for each sign."""
         self.signs = metrics.counter(
             "agatetack_leaving_signs_total",
             "Signs that a target is leaving, by sign.",
--- a/agatetack/targets/departures.py
+++ b/agatetack/targets/departures.py
@@ -1,4 +1,4 @@
-"""Keep the signs that targets are leaving, and when they may be back."""
+"""Record signs that targets are leaving, and when they may return."""
 
 from collections.abc import Sequence
 
@@ -8,40 +8,40 @@
 from agatetack.targets.state import TargetState
 
 MOST_RECORDS = 20_000
-"""Targets of which it is remembered that they leave; the first go first."""
+"""Maximum number of leaving targets on record; the oldest is evicted first."""
 
 decisions = DecisionLog("targets")
 
 
 class Departures:
-    """The targets that get no new work as they leave.
+    """The targets that get no new work because they are leaving.
 
-    Where each start of a target has an id of its own, nothing undoes what the
-    target said itself: it has no way to be live again under that id, whatever
-    lists and load endpoints say meanwhile.
+    If each process incarnation of a target has its own id, an announcement by
+    the target itself is final: no later process runs under that id, so host
+    lists and load endpoints that show it as live are ignored.
 
     Attributes:
-        records: Why, by target.
-        returns: How often each target has come back from that.
-        hold_seconds: How long nothing undoes a sign.
-        ids_by_start: Whether each start of a target has an id of its own.
+        records: The signs that each target is leaving.
+        returns: How often each target has left and returned.
+        hold_seconds: How long a sign can't be revoked.
+        ids_by_start: Whether each process incarnation has its own target id.
     """
 
     def __init__(self, hold_seconds: float, ids_by_start: bool = False):
-        """Start with no target that leaves."""
+        """Start without leaving targets."""
         self.records: dict[TargetId, LeavingRecord] = {}
         self.returns: dict[TargetId, int] = {}
         self.hold_seconds = hold_seconds
         self.ids_by_start = ids_by_start
 
     def get(self, target_id: TargetId) -> LeavingRecord | None:
-        """Return why a target leaves, or None if it does not."""
+        """Return the record of a leaving target, or None if it is not."""
         return self.records.get(target_id)
 
     def note_sign(
         self, target: TargetState, why: LeavingSign, now: Deadline
     ) -> None:
-        """Take a sign that `target` is leaving, the first one or another."""
+        """Record a sign that `target` is leaving."""
         record = self.records.get(target.id)
         if record is not None:
             record.note_sign(why, now, self.hold_seconds)
@@ -67,12 +67,12 @@
         )
 
     def may_return(self, target_id: TargetId, now: Deadline) -> bool:
-        """Return whether a target that says to be ready may get work."""
+        """Return whether a target that reports to be ready may get work."""
         record = self.records[target_id]
         return record.may_return(now, self.hold_seconds)
 
     def end(self, target_id: TargetId) -> LeavingRecord:
-        """Let a target come back; return why it was gone."""
+        """Let a target return; remove and return its record."""
         record = self.records.pop(target_id)
         self.returns[target_id] = record.returns + 1
         return record
@@ -83,15 +83,15 @@
         self.returns.pop(target_id, None)
 
     def forget_earlier(self, target: TargetState) -> None:
-        """Forget the signs that an earlier start of `target` gave."""
+        """Forget the signs of an earlier incarnation of `target`."""
         record = self.records.get(target.id)
         if record is not None and record.incarnation < target.incarnation:
             self.forget(target.id)
 
     def forget_if_over(self, target_id: TargetId, now: Deadline) -> None:
-        """Forget the signs of a target that is gone, once their hold is over.
+        """Forget the signs of an unlisted target once their hold is over.
 
-        Until then they keep out one that is listed again under its name.
+        Until then they block a target that is listed again under this id.
         """
         record = self.records.get(target_id)
         if record is not None and now >= record.hold_until:
@@ -106,11 +106,11 @@
         ]
 
     def holds(self, target_id: TargetId, now: Deadline) -> bool:
-        """Return whether nothing undoes the signs of a target yet."""
+        """Return whether the hold of a target's signs is still running."""
         record = self.records.get(target_id)
         return record is not None and now < record.hold_until
 
     def is_final(self, target_id: TargetId) -> bool:
-        """Return whether nothing undoes the signs of a target ever."""
+        """Return whether the signs of a target can never be revoked."""
         record = self.records.get(target_id)
         return record is not None and record.final
--- a/agatetack/targets/drains.py
+++ b/agatetack/targets/drains.py
@@ -1,8 +1,8 @@
-"""Keep which targets operators drained, alike on every host.
+"""Share the targets that operators drained among all hosts.
 
-The marks live in the hosts' memory and are told to every host again and
-again, so that one that starts later has them too. They are lost only when all
-hosts are replaced between two tellings.
+The marks are kept in memory and published to all hosts periodically, so that
+hosts that start later receive them too. They are lost only if all hosts are
+replaced between two publications.
 """
 
 import dataclasses
@@ -19,27 +19,28 @@
 from agatetack.thrift_codec import MalformedMessage, decode, encode
 
 REPEAT_SECONDS = 5.0
-"""How often all marks are told again."""
+"""Interval at which all marks are published again."""
 
 FORGET_MS = 24 * 3600 * 1000
-"""After this time a mark that was taken back is forgotten."""
+"""Age at which the mark of a target that is no longer drained is dropped."""
 
 log = PartLog("targets")
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Mark:
-    """Whether an operator drained a target, and when that was said."""
+    """Whether an operator drained a target, and when that was set."""
 
     drained: bool
     set_unix_ms: int
 
 
 class TargetDrains:
-    """Operators' marks; of two marks of one target the later one holds.
+    """The operators' marks; the latest mark of each target wins.
 
     Attributes:
-        marks: The mark of each target that ever had one.
+        marks: The latest mark of each target that was drained, or undrained
+            in the last `FORGET_MS`.
     """
 
     def __init__(
@@ -49,7 +50,7 @@
         metrics: Metrics,
         clock: Clock,
     ):
-        """Apply marks to `registry` and tell them to the other hosts."""
+        """Apply marks to `registry` and share them through `exchange`."""
         self.registry = registry
         self.exchange = exchange
         self.metrics = metrics
@@ -58,7 +59,7 @@
         exchange.subscribe(Topic.TARGET_DRAINS, self._take)
 
     def set(self, target: TargetId, drained: bool) -> None:
-        """Drain a target on every host, or let it have work again."""
+        """Drain a target on every host, or allow it new work again."""
         now_ms = int(self.clock.wall() * 1000)
         earlier = self.marks.get(target)
         if earlier is not None:
@@ -67,7 +68,7 @@
         self._publish()
 
     async def run(self) -> None:
-        """Tell all marks again and again, for ever."""
+        """Publish all marks periodically; runs until cancelled."""
         while True:
             await trio.sleep(REPEAT_SECONDS)
             self._forget()
@@ -95,7 +96,7 @@
             self.metrics.dropped.inc(
                 {"part": "targets", "reason": "malformed-marks"}
             )
-            log.warning("The drain marks of %s are malformed.", sender)
+            log.warning("The drain marks from %s are malformed.", sender)
             return
         for drain in message.drains:
             mark = Mark(drain.drained, drain.set_unix_ms)
--- a/agatetack/targets/http_client.py
+++ b/agatetack/targets/http_client.py
@@ -38,7 +38,7 @@
 from agatetack.targets.state import ReportSource, TargetState
 
 FINAL_EARLY_STATUS = 300
-"""An answer from this status on, before the upload's end, ends the upload."""
+"""A response with this status or higher stops an unfinished upload."""
 
 log = PartLog("targets")
 
@@ -52,13 +52,13 @@
         registry: TargetRegistry,
         load_reader: LoadReader | None = None,
     ):
-        """Note in `registry` what answers say of their targets.
+        """Record the load and state that targets report in `registry`.
 
         Args:
             settings: The host's settings.
             registry: The targets.
-            load_reader: Reads their load reports; by the headers of the
-                settings if None.
+            load_reader: Reads load reports; None reads the headers that the
+                settings name.
         """
         self.settings = settings
         self.registry = registry
@@ -74,7 +74,7 @@
         self.check = AnswerCheck(settings)
 
     async def call(self, attempt: Attempt) -> Answer:
-        """Send the request and return the answer once its header is read."""
+        """Send the request and return the response once its header is read."""
         pool = self.pools.pool(attempt.target.process)
         connection = await self._connect(attempt, pool)
         parser = AnswerParser(
@@ -84,7 +84,7 @@
         )
         sent_at = Deadline(trio.current_time())
         if not attempt.target.is_willing(sent_at):
-            # It said so since the attempt was given leave to go there.
+            # It became unwilling after it was chosen for this attempt.
             pool.put_back(connection)
             raise AttemptFailed(
                 AttemptFailure(
@@ -127,7 +127,7 @@
         connection: TargetConnection,
         parser: AnswerParser,
     ) -> None:
-        """Note what an answer that nobody waits for any more asks of hosts."""
+        """Record a pushback in the response to a cancelled attempt."""
         if parser.state is AnswerState.HEAD:
             connection.receive_nowait_into(parser)
         if self.check.is_not_run(parser):
@@ -170,7 +170,11 @@
         connection: TargetConnection,
         parser: AnswerParser,
     ) -> bool:
-        """Send the request, read the header; return whether all was sent."""
+        """Send the request and read the response's header.
+
+        Returns:
+            Whether the request was sent completely.
+        """
         connection.requests += 1
         request = attempt.request
         head = self._request_head(attempt)
@@ -185,8 +189,8 @@
         try:
             await connection.send(data)
         except trio.BrokenResourceError:
-            # The target may have answered before it closed the connection,
-            # so the answer is looked for even when sending failed.
+            # The target may have responded before it closed the connection,
+            # so the response is read even if sending failed.
             return
 
     async def _receive_head(
@@ -236,11 +240,11 @@
     def _note_silence(
         self, connection: TargetConnection, pool: TargetPool, sent_at: Deadline
     ) -> None:
-        """Close a connection that an attempt was given up on.
+        """Close the connection of an abandoned attempt.
 
-        A connection that had worked before and brought no byte since may
-        have gone silent, and its siblings with it; one that is new speaks
-        for nothing but a slow target.
+        A reused connection without a byte since the request was sent may have
+        gone silent, and so may other connections to the target. On a new
+        connection, silence only shows that the target is slow.
         """
         silent = connection.last_byte_at < sent_at
         if silent and connection.requests > 1:
@@ -270,8 +274,8 @@
             byte_timeout_seconds=self.settings.targets.byte_timeout_seconds,
         )
         if self.check.is_not_run(parser):
-            # What it has left of its body is read, as a new connection costs
-            # more than a few bytes.
+            # The rest of a short body is read so that the connection can be
+            # reused, as a new one costs more than a few bytes.
             await body.drop()
             raise AttemptFailed(
                 AttemptFailure(
@@ -290,7 +294,7 @@
     def _note_target_limits(
         self, target: TargetState, parser: AnswerParser, sent_at: Deadline
     ) -> None:
-        """Note what the target wants of hosts that send to it."""
+        """Record the rate limit and pushback in a response."""
         limits = self.registry.rate_limits
         if self.check.is_other_instance(parser):
             return
@@ -298,7 +302,8 @@
         if parser.status not in TURNED_AWAY_STATUSES:
             self.registry.pushbacks.note_taken(target)
         if self.check.is_not_run(parser):
-            # A full target may answer before it comes to name its rate.
+            # An overloaded target may reject a request before it adds the
+            # rate header, so a missing rate does not end the limit.
             limits.note_load_answer(target, parser.headers, ReportSource.ANSWER)
         else:
             limits.note_answer(target, parser.headers, sent_at)
@@ -314,11 +319,11 @@
 
 
 class Upload:
-    """A request body on its way to a target while the answer is awaited.
+    """Streams a request body to a target while the response is awaited.
 
     Attributes:
         complete: Whether the last byte was sent.
-        error: What kept the body from being read, or None.
+        error: The error in reading the body, or None.
     """
 
     def __init__(self, request: CallerRequest, connection: TargetConnection):
@@ -329,11 +334,11 @@
         self.error: Exception | None = None
 
     async def run(self, exchange: trio.CancelScope) -> None:
-        """Send the body; end `exchange` if it can't be read."""
+        """Send the body; cancel `exchange` if it can't be read."""
         try:
             await self._send_all()
         except trio.BrokenResourceError:
-            # The target may have answered before it closed the connection.
+            # The target may have responded before it closed the connection.
             return
         except Exception as error:
             self.error = error
--- a/agatetack/targets/leaving.py
+++ b/agatetack/targets/leaving.py
@@ -1,7 +1,7 @@
-"""Weigh the signs that a target is leaving against those that it is back.
+"""Weigh signs that a target is leaving against evidence that it is back.
 
-The load endpoint and the host list lag or mislead, so a good word from either
-does not undo a sign by itself.
+The load endpoint and the host list may be outdated or wrong, so neither of
+them alone can revoke a sign.
 """
 
 import dataclasses
@@ -11,14 +11,15 @@
 from agatetack.ids import Deadline
 
 LONG_HOLD_FACTOR = 30
-"""Holds after which a target that never showed a restart may come back."""
+"""A target that never showed a restart may return after this many holds."""
 
 MAX_HOLD_DOUBLINGS = 5
-"""How often the hold doubles for a target that keeps coming and going."""
+"""How often the hold doubles at most for a target that returns and leaves
+repeatedly."""
 
 
 class LeavingSign(enum.Enum):
-    """What showed that a target is leaving."""
+    """The source of a sign that a target is leaving."""
 
     ANSWER_HEADER = "answer-header"
     CONNECT_REFUSED = "connect-refused"
@@ -36,17 +37,17 @@
     LeavingSign.OTHER_INSTANCE: 2,
     LeavingSign.ANSWER_HEADER: 2,
 }
-"""How hard a sign is to take back.
+"""How strong a sign is; a stronger one is harder to revoke.
 
-A failed connection only suggests that the target leaves. The platform may
-take back its own word, but what the target said is undone by a restart only.
-Hosts hear of signs in different orders, so the strongest counts and not the
-first.
+A failed connection only suggests that the target is leaving. The platform may
+revoke its own listing, but only a restart revokes what the target announced.
+Hosts learn of signs in different orders, so the strongest sign counts rather
+than the first.
 """
 
 
 OWN_WORDS = frozenset({LeavingSign.ANSWER_HEADER, LeavingSign.HEALTH})
-"""Signs by which the target itself said that it leaves."""
+"""Signs by which the target itself announced that it is leaving."""
 
 
 @dataclasses.dataclass(slots=True)
@@ -55,15 +56,16 @@
 
     Attributes:
         sign: The strongest sign.
-        at: When the last sign came.
-        hold_until: No evidence before this time counts.
-        restarted: Whether it was seen gone, or cold, since it announced.
-        listed_leaving: Whether the list said leaving.
-        listed_live: Whether the list said live after the hold.
-        returns: Times it came back and left again.
-        incarnation: Which start of the target it is about.
-        id_of_one_start: Whether a later start has another id, so that what
-            the target said itself holds for ever.
+        at: When the last sign was received.
+        hold_until: Evidence that it is back is ignored until this time.
+        restarted: Whether it was seen down or cold after the sign, or the
+            platform revoked its listing, so that it may be a new process.
+        listed_leaving: Whether the host list showed it as leaving.
+        listed_live: Whether the host list showed it as live after the hold.
+        returns: How often it has returned from leaving before.
+        incarnation: The process incarnation that the signs are about.
+        id_of_one_start: Whether a later incarnation has another id, so that
+            an announcement by the target itself is final.
     """
 
     sign: LeavingSign
@@ -78,18 +80,18 @@
 
     @property
     def announced(self) -> bool:
-        """Return whether the target or the platform said that it leaves."""
+        """Return whether the target or the platform announced it."""
         return STRENGTHS[self.sign] > 0
 
     @property
     def final(self) -> bool:
-        """Return whether nothing undoes it ever."""
+        """Return whether nothing can ever revoke it."""
         return self.id_of_one_start and self.sign in OWN_WORDS
 
     def note_sign(
         self, sign: LeavingSign, now: Deadline, hold_seconds: float
     ) -> None:
-        """Take one more sign, or the first."""
+        """Record another sign and restart the hold."""
         if sign is LeavingSign.CONNECT_REFUSED and self.announced:
             self.restarted = True
         if STRENGTHS[sign] > STRENGTHS[self.sign]:
@@ -97,7 +99,7 @@
         self.hold(now, hold_seconds)
 
     def hold(self, now: Deadline, hold_seconds: float) -> None:
-        """Let no evidence count for another hold."""
+        """Restart the hold, during which evidence of a return is ignored."""
         self.at = now
         self.listed_live = False
         if self.final:
@@ -107,16 +109,16 @@
         self.hold_until = Deadline(now + hold_seconds * 2**doublings)
 
     def note_listed_live(self, now: Deadline) -> None:
-        """Weigh the list's word that the target is live."""
+        """Weigh that the host list shows the target as live."""
         if now < self.hold_until:
             return
         if self.sign is LeavingSign.HOST_LIST:
-            # The platform took its own word back.
+            # The platform revoked its own listing as leaving.
             self.restarted = True
         self.listed_live = True
 
     def may_return(self, now: Deadline, hold_seconds: float) -> bool:
-        """Return whether a target that answers to be ready may get work."""
+        """Return whether a target that reports to be ready may get work."""
         if not self.listed_live:
             return False
         if not self.announced or self.restarted:
--- a/agatetack/targets/load.py
+++ b/agatetack/targets/load.py
@@ -1,4 +1,4 @@
-"""Read what a target's answer says of its load and state."""
+"""Read a target's load and state from the headers of its responses."""
 
 import abc
 import dataclasses
@@ -9,11 +9,11 @@
 from agatetack.settings.model import Settings
 
 USUAL_SLOWNESS = 1.0
-"""The slowness of a target on which work takes as long as usual."""
+"""The slowness of a target where work takes as long as usual."""
 
 
 class ReportedState(enum.Enum):
-    """What a target says of its own state."""
+    """The state that a target reports for itself."""
 
     READY = "ready"
     COLD = "cold"
@@ -25,15 +25,15 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ReadLoad:
-    """A load report as it stands in an answer.
+    """A load report as read from a response.
 
     Attributes:
-        in_flight: Requests running or waiting there, or None if not said.
-        slots: Requests that run at the same time, or None if not said.
+        in_flight: Requests running or queued there, or None if missing.
+        slots: Requests that it can run concurrently, or None if missing.
         slowness: How many times longer than usual work takes there now.
-        state: What it says of its state, or None if nothing.
-        warm_up_seconds: How long it still warms up, by an answer of its load
-            path; other answers do not say. None if it can't be read.
+        state: The state that it reports, or None if missing.
+        warm_up_seconds: Remaining warm-up time; only responses of the load
+            path report it. None if it can't be read.
     """
 
     in_flight: int | None
@@ -44,24 +44,24 @@
 
 
 class LoadReader(abc.ABC):
-    """A way to read load reports.
+    """Reads load reports from response headers.
 
     Attributes:
-        names: The headers that hold them; they are not passed on to callers.
+        names: The headers that carry them, which are not sent to callers.
     """
 
     names: frozenset[bytes] = frozenset()
 
     @abc.abstractmethod
     def read(self, headers: Mapping[bytes, bytes]) -> ReadLoad:
-        """Return the report that `headers` hold; names are in lower case."""
+        """Return the report in `headers`, whose names are in lower case."""
 
 
 class HeaderLoadReader(LoadReader):
-    """Reads one figure from each of several headers."""
+    """Reads each value of the report from a header of its own."""
 
     def __init__(self, settings: Settings):
-        """Read the headers that `settings` name."""
+        """Read the header names from `settings`."""
         names = settings.targets.headers
         self.in_flight = names.in_flight.encode()
         self.slots = names.slots.encode()
@@ -69,7 +69,7 @@
         self.names = frozenset((self.in_flight, self.slots, self.state))
 
     def read(self, headers: Mapping[bytes, bytes]) -> ReadLoad:
-        """Return the report that `headers` hold."""
+        """Return the report in `headers`."""
         return ReadLoad(
             in_flight=read_count(headers.get(self.in_flight)),
             slots=read_count(headers.get(self.slots)),
--- a/agatetack/targets/look.py
+++ b/agatetack/targets/look.py
@@ -1,4 +1,4 @@
-"""Ask a target for its load on the connection that a request will use."""
+"""Probe a target's load on the connection that a request will use."""
 
 from collections.abc import Mapping
 
@@ -25,32 +25,34 @@
 from agatetack.targets.state import LoadReport, ReportSource, TargetState
 
 STRAY_SECONDS = 0.001
-"""How long bytes that follow the answer are waited for. A faulty target sends
-them with its answer or just behind it, and they would be taken for a broken
-answer to the request."""
+"""How long to wait for stray bytes after the response. A faulty target sends
+them with or just after its response, and they would be parsed as a malformed
+response to the request."""
 
 BURST_LOOKS = 6.0
-"""Looks at one target that a host may save up, and has at its start.
+"""Capacity and initial level of a target's token bucket for pre-send probes.
 
-A host's requests for one target come several at a time. With two saved up, one
-in ten was sent without a look, and three in ten of these to a machine that had
-turned slow, which took five times as long (11 hosts of 96, in 3 s of 550
-requests a second). They are earned as before: no more are spent on the whole.
+A host sends several requests to one target in a burst. With a capacity of 2,
+one in ten requests was sent without a probe, and three in ten of these went to
+a machine that had become slow, where they took five times as long (11 of 96
+hosts, 3 s of 550 requests per second). The refill rate does not depend on the
+capacity, so the total number of probes is no higher.
 """
 
 GROUP_LOOKS = 0.75
-"""Share of the looks at a target that the hosts of its group have among them,
-as they send most of its requests; all others have the rest."""
+"""Share of the pre-send probes of a target for the hosts of its group, which
+send most of its requests; all other hosts share the rest."""
 
 MAX_ANSWER_BYTES = 4096
-"""Most bytes of a load endpoint's answer; one has some 200."""
+"""Maximum size of the header, and of the framing after it, in a response of a
+load endpoint; a usual response has about 200 bytes."""
 
 
 class TargetLook:
-    """Asks targets for their load just before they get a request.
+    """Probes the load of targets just before they get a request.
 
-    The question goes over a pooled connection, which the request takes next:
-    that costs no connection, and shows that it is not lost.
+    The probe uses a pooled connection that the request uses next. This needs
+    no extra connection and verifies that the connection still works.
     """
 
     def __init__(
@@ -63,16 +65,17 @@
         metrics: Metrics,
         load_paths: Mapping[ServiceId, str] | None = None,
     ):
-        """Note in `registry` what targets say.
+        """Record the responses of targets in `registry`.
 
         Args:
             settings: The host's settings.
             registry: The targets.
-            pools: Their connections.
+            pools: The connection pools of the targets.
             load_reader: Reads load reports.
-            exchange: The other hosts, which look too.
-            metrics: Where the spending is counted.
-            load_paths: Load paths of services that have one of their own.
+            exchange: Tells how many other hosts probe the targets too.
+            metrics: Counts the probes.
+            load_paths: The load path of each service; None if all services
+                use the load path in the settings.
         """
         self.settings = settings
         self.registry = registry
@@ -89,10 +92,10 @@
         self.not_run_name = names.outcome.encode()
 
     def take(self, target: TargetState) -> bool:
-        """Spend one look at `target`; return whether there is one left.
+        """Take a token for a probe of `target`; return whether there was one.
 
-        The load path must be known: asked for another, the target would count
-        it as a request.
+        Services with an unknown load path are not probed: the target would
+        count a request to any other path as work.
         """
         known = self.load_paths is None or target.service in self.load_paths
         if not known or not self._bucket(target).take():
@@ -115,7 +118,7 @@
         return bucket
 
     def _lookers(self, target: TargetState) -> float:
-        """Return how many hosts share the looks at `target` evenly."""
+        """Return among how many hosts the probe rate of `target` is divided."""
         hosts = self.exchange.group_hosts()
         if not hosts:
             return self.exchange.fleet_size()
@@ -130,10 +133,10 @@
     async def ask(
         self, target: TargetState, deadline: Deadline
     ) -> LoadReport | None:
-        """Return what the target says, or None if it does not by `deadline`.
+        """Return the target's load, or None if it is not known by `deadline`.
 
-        A pooled connection may have been lost or gone silent without a word,
-        which says nothing of the target: a new one is tried then.
+        A pooled connection may have been lost or gone silent unnoticed, which
+        is no evidence against the target, so another connection is tried.
         """
         pool = self.pools.pool(target.process)
         while True:
@@ -166,10 +169,10 @@
     async def _ask_on(
         self, connection: TargetConnection, pool: TargetPool, deadline: Deadline
     ) -> ReadLoad | None:
-        """Ask on `connection`, which is closed if anything else comes.
+        """Probe on `connection`, and close it unless the load is received.
 
-        A later answer on it could be taken for that of the request. A pooled
-        connection has half of the time.
+        A late response on it could be taken for that of the request. On a
+        pooled connection only half of the remaining time is used.
         """
         now = trio.current_time()
         until = (now + deadline) / 2 if connection.requests else deadline
@@ -219,7 +222,7 @@
     def _note_availability(
         self, parser: AnswerParser, target: TargetState, load: ReadLoad
     ) -> None:
-        """Note what the answer says of whether `target` wants requests."""
+        """Record whether the response says that `target` accepts requests."""
         self.registry.pushbacks.note_answer(
             target, parser.status, parser.headers, ReportSource.ANSWER
         )
@@ -227,7 +230,7 @@
             self.registry.note_leaving(target, LeavingSign.ANSWER_HEADER)
 
     def _is_answer_of(self, parser: AnswerParser, target: TargetState) -> bool:
-        """Return whether `target` answered, if only to turn the look away."""
+        """Return whether `target` responded, even if it rejected the probe."""
         if parser.state is AnswerState.BROKEN or self._is_late(parser):
             return False
         if self.instance_name is None:
@@ -236,14 +239,14 @@
         return instance in (None, target.id.encode())
 
     def _is_late(self, parser: AnswerParser) -> bool:
-        """Return whether it answers an earlier request of the connection."""
+        """Return whether it responds to an earlier caller's request."""
         name = self.request_id_name
         return name is not None and (
             find_header(parser.headers, name) is not None
         )
 
     def _is_own_word(self, parser: AnswerParser, target: TargetState) -> bool:
-        """Return whether this is the load endpoint's answer, and no other."""
+        """Return whether this is a complete response of the load endpoint."""
         if parser.state is not AnswerState.COMPLETE or parser.stray:
             return False
         if not parser.keep_alive:
--- a/agatetack/targets/parser.py
+++ b/agatetack/targets/parser.py
@@ -1,4 +1,4 @@
-"""Parse the answers that arrive on one connection to a target."""
+"""Parse the responses on a connection to a target."""
 
 import enum
 from collections import deque
@@ -9,13 +9,13 @@
 from agatetack.messages import Header, find_header
 
 INTERIM_LIMIT = 200
-"""Statuses below this are interim; the answer is still to come."""
+"""Statuses below this are interim: the final response follows."""
 
 BODYLESS = frozenset({204, 304})
 
 
 class AnswerState(enum.Enum):
-    """How much of an answer has been parsed."""
+    """How much of a response has been parsed."""
 
     HEAD = "head"
     BODY = "body"
@@ -24,21 +24,21 @@
 
 
 class AnswerParser:
-    """Parse one answer; a connection takes a new one for each request.
+    """Parses one response; each request on a connection needs a new parser.
 
     Attributes:
         state: How much has been parsed.
         status: The HTTP status, once the header is complete.
         headers: Header fields, names in lower case.
-        length: The announced Content-Length, or None.
-        parts: Body bytes not yet taken.
-        stray: Whether bytes came that belong to no answer.
+        length: The Content-Length, or None.
+        parts: Body bytes not yet consumed.
+        stray: Whether bytes were received that belong to no response.
         head_bytes: Bytes received until the header was complete.
         framing_bytes: Bytes received since the last byte of the body.
-        keep_alive_seconds: How long the target keeps an idle connection, as
-            it said, or None.
-        skipped: Answers to other requests that came before.
-        unnamed: Whether the answer says nothing of whose it is.
+        keep_alive_seconds: The keep-alive timeout that the target announced,
+            or None.
+        skipped: Number of earlier responses to other requests.
+        unnamed: Whether the response lacks the expected request id header.
     """
 
     def __init__(
@@ -47,13 +47,13 @@
         max_header_bytes: int,
         echo: Header | None = None,
     ):
-        """Expect the answer to a request with `method`.
+        """Expect the response to a request with `method`.
 
         Args:
             method: The request's method.
-            max_header_bytes: Bound of the header.
-            echo: The header that tells the answer from those to other
-                requests, which are passed over; None takes any.
+            max_header_bytes: Maximum size of the header.
+            echo: The header that the response to this request carries;
+                responses with another value are skipped. None accepts any.
         """
         self.method = method
         self.echo = echo
@@ -75,7 +75,7 @@
         self.framing_bytes = 0
 
     def feed(self, data: bytes) -> None:
-        """Take bytes of the connection."""
+        """Parse bytes received on the connection."""
         if self.state is AnswerState.COMPLETE:
             self.stray = True
             return
@@ -91,9 +91,9 @@
             self.state = AnswerState.BROKEN
 
     def _is_too_long(self) -> bool:
-        """Return whether a header or trailer under way is too long.
+        """Return whether an incomplete header or trailer is too long.
 
-        The parser below keeps a field until its end, however long it gets.
+        httptools buffers a field until its end, without a size limit.
         """
         if self.state is AnswerState.HEAD:
             return self.head_bytes > self.max_header_bytes
@@ -109,11 +109,11 @@
 
     @property
     def ends_with_connection(self) -> bool:
-        """Return whether only the connection's end tells the body's end."""
+        """Return whether the body ends only when the connection closes."""
         return self.length is None and not self.chunked
 
     def end(self) -> None:
-        """Take the connection's end."""
+        """Handle the regular end of the connection."""
         if self.state is AnswerState.COMPLETE:
             return
         if self.state is AnswerState.BODY and self.ends_with_connection:
@@ -123,22 +123,22 @@
         self.state = AnswerState.BROKEN
 
     def lose(self) -> None:
-        """Take the loss of the connection, which ends no answer properly."""
+        """Handle a reset, which is not a valid end of any response."""
         if self.state is not AnswerState.COMPLETE:
             self.state = AnswerState.BROKEN
 
     def on_message_begin(self) -> None:
-        """Start an answer; called by the parser."""
+        """Handle the start of a response; called by httptools."""
         if self.state is AnswerState.COMPLETE:
             self.stray = True
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Take a header field; called by the parser."""
+        """Handle a header field; called by httptools."""
         if self.state is AnswerState.HEAD and not self.skipping:
             self.headers.append(Header(name.lower(), value))
 
     def on_headers_complete(self) -> None:
-        """Take the end of the header; called by the parser."""
+        """Handle the end of the header; called by httptools."""
         if self.state is not AnswerState.HEAD:
             return
         status = self.parser.get_status_code()
@@ -176,12 +176,12 @@
             elif name == b"transfer-encoding":
                 self.chunked = True
                 if value.strip().lower() != b"chunked":
-                    # The coding would be dropped with the header, and the
-                    # caller could not read the body.
+                    # Hop-by-hop headers are not forwarded, so the caller would
+                    # get an encoded body without its transfer coding.
                     self.state = AnswerState.BROKEN
 
     def on_body(self, data: bytes) -> None:
-        """Take body bytes; called by the parser."""
+        """Handle body bytes; called by httptools."""
         if self.skipping:
             return
         if self.state is AnswerState.BODY:
@@ -191,7 +191,7 @@
             self.stray = True
 
     def on_message_complete(self) -> None:
-        """Take the end of the answer; called by the parser."""
+        """Handle the end of a response; called by httptools."""
         if self.skipping:
             self.skipping = False
             self.head_bytes = 0
@@ -201,7 +201,7 @@
 
 
 def read_keep_alive(value: bytes) -> int | None:
-    """Return the seconds in a Keep-Alive header, or None if it has none."""
+    """Return the timeout in a Keep-Alive header, or None if it has none."""
     for part in value.split(b","):
         name, _, seconds = part.strip().partition(b"=")
         if name.lower() == b"timeout":
--- a/agatetack/targets/pool.py
+++ b/agatetack/targets/pool.py
@@ -1,4 +1,4 @@
-"""Keep open connections to targets for the next request."""
+"""Pool open connections to targets for reuse by later requests."""
 
 import abc
 
@@ -15,12 +15,12 @@
 from agatetack.targets.state import TargetState
 
 CLOSE_RACE_SECONDS = 1.0
-"""A connection is not used so shortly before its target closes it, as a
-request on its way then would be lost."""
+"""An idle connection is not reused within this time before its target's
+keep-alive timeout: a request sent as the target closes it would be lost."""
 
 
 class ConnectionShare(abc.ABC):
-    """What one host may keep of the connections that a target accepts."""
+    """Limits how many connections this host may open to a target."""
 
     @abc.abstractmethod
     def most(self, target: TargetState) -> int:
@@ -28,30 +28,31 @@
 
 
 class OwnConnections(ConnectionShare):
-    """As many as the settings say, whatever other hosts have."""
+    """Applies the limit in the settings, regardless of other hosts."""
 
     def __init__(self, settings: Settings):
-        """Take the number from `settings`."""
+        """Read the limit from `settings`."""
         self.limit = settings.targets.max_connections
 
     def most(self, target: TargetState) -> int:
-        """Return the number of the settings."""
+        """Return the limit in the settings."""
         return self.limit
 
 
 class TargetPool:
-    """Idle connections to one target, latest used last.
+    """Pool of connections to one target.
 
     Attributes:
-        share: How many may be open.
-        idle: Connections without a request.
+        share: Limits how many connections may be open.
+        idle: Connections without a request, most recently used last.
         open_count: Connections open now, idle or not.
-        suspect_before: Connections that had no byte since then are not used
-            again, because one of them was found silent.
+        suspect_before: Connections that received no byte since this time are
+            not reused, because another connection to the target was found to
+            be silent.
     """
 
     def __init__(self, settings: Settings, share: ConnectionShare):
-        """Keep connections as `settings` and `share` say."""
+        """Limit the age and number of connections by `settings` and `share`."""
         self.settings = settings
         self.share = share
         self.idle: list[TargetConnection] = []
@@ -59,7 +60,7 @@
         self.suspect_before = Deadline(0.0)
 
     def take(self, freshness: Freshness) -> TargetConnection | None:
-        """Return an idle connection that may be used, or None."""
+        """Remove and return a reusable idle connection, or return None."""
         if freshness is Freshness.NEW:
             return None
         now = trio.current_time()
@@ -81,7 +82,7 @@
         return self.settings.targets.idle_proof_seconds
 
     def put_back(self, connection: TargetConnection) -> None:
-        """Keep a connection whose last answer was read to its end."""
+        """Keep a connection for reuse once its response was read to the end."""
         if connection.last_byte_at < self.suspect_before:
             self.discard(connection)
             return
@@ -89,24 +90,24 @@
         connection.target.idle_connections = len(self.idle)
 
     def discard(self, connection: TargetConnection) -> None:
-        """Close a connection for good."""
+        """Close a connection instead of keeping it for reuse."""
         if not connection.closed:
             self.open_count -= 1
             connection.close()
 
     def suspect(self, connection: TargetConnection, since: Deadline) -> None:
-        """Close a silent connection and trust none as silent as it.
+        """Close a silent connection and those that were silent as long.
 
         Args:
-            connection: Where no byte came.
-            since: When a byte was first missed there.
+            connection: The connection that received no byte.
+            since: The start of the time without a byte.
         """
         self.suspect_before = max(self.suspect_before, since)
         self.discard(connection)
         self.close_idle_before(self.suspect_before)
 
     def close_idle_before(self, oldest: Deadline) -> None:
-        """Close idle connections without a byte since `oldest`."""
+        """Close idle connections that received no byte since `oldest`."""
         kept = []
         for connection in self.idle:
             if connection.last_byte_at >= oldest:
@@ -122,7 +123,7 @@
         """Open a new connection.
 
         Raises:
-            ConnectFailed: None could be opened, or too many are open.
+            ConnectFailed: It could not be opened, or too many are open.
         """
         limits = self.settings.targets
         if self.open_count >= self.share.most(target):
@@ -139,10 +140,10 @@
 
 
 class TargetPools:
-    """The pools of all targets of one host, one for each of their starts.
+    """The connection pools of this host, one for each target process.
 
     Attributes:
-        share: How many connections each of them may have open.
+        share: Limits how many connections each pool may have open.
     """
 
     def __init__(self, settings: Settings):
@@ -152,7 +153,7 @@
         self.pools: dict[ProcessId, TargetPool] = {}
 
     def pool(self, process: ProcessId) -> TargetPool:
-        """Return the pool of `process`, a new one if there is none."""
+        """Return the pool of `process`, creating it if there is none."""
         pool = self.pools.get(process)
         if pool is None:
             pool = TargetPool(self.settings, self.share)
@@ -160,7 +161,7 @@
         return pool
 
     async def close_old(self) -> None:
-        """Close connections that have been idle for long; runs for ever."""
+        """Close connections that were idle too long; runs until cancelled."""
         seconds = self.settings.targets.idle_close_seconds
         while True:
             await trio.sleep(seconds / 2)
--- a/agatetack/targets/pushbacks.py
+++ b/agatetack/targets/pushbacks.py
@@ -1,8 +1,8 @@
-"""Learn from answers for how long targets want nothing of this host.
+"""Track for how long targets asked this host to send nothing.
 
-A target that turns a request away may say when to come back (RFC 9110, 10.2.3).
-It says so to the host that asked, and of itself: the other targets of its
-service, and the other hosts, are not meant.
+A target that rejects a request may say when to retry, in a Retry-After header
+(RFC 9110, 10.2.3). That applies only to this target and the host that sent the
+request, not to other targets of the service or to other hosts.
 """
 
 import trio
@@ -18,37 +18,37 @@
 HEADER_NAME = b"retry-after"
 
 TURNED_AWAY_STATUSES = frozenset({429, 503})
-"""Statuses with which a target turns a request away for now."""
+"""Statuses with which a target rejects a request temporarily."""
 
 LONGEST_SECONDS = 3600.0
-"""Longest time that a target is left alone by its own word; then it is asked
-again, as no other host can tell that it takes requests."""
+"""Maximum pushback that a target can ask for. Then it is tried again, as no
+other host can report that it accepts requests of this host."""
 
 GROWTH = 2.0
-"""How many times longer a target is left alone each time that it asks again
-without having taken a request. Each trial costs a request an attempt, and one
-that turns everything away looks the least loaded."""
+"""Backoff factor for each further pushback without an accepted request. Each
+trial costs a request one attempt, and a target that rejects everything has the
+lowest load and would be chosen first."""
 
 LONGEST_GROWN_SECONDS = 12.0
-"""Longest time that a target is left alone beyond what it asked for; one that
-takes requests again has to be found out."""
+"""Maximum pushback when `GROWTH` lengthens it beyond what the target asked for,
+so that a target that accepts requests again is found in time."""
 
 MAX_SECONDS = 1e6
-"""Longest time that is believed to be meant."""
+"""Highest Retry-After value that is accepted as valid."""
 
 decisions = DecisionLog("targets")
 
 
 class Pushbacks:
-    """The targets that want nothing of this host for some time.
+    """The pushbacks of targets for this host.
 
     Attributes:
-        until: Until when, by start of a process; it outlasts a registration
-            that lapses and is made again.
+        until: When the pushback of each process incarnation ends. It is kept
+            while a registration expires and is made again.
     """
 
     def __init__(self, metrics: Metrics):
-        """Count in `metrics`."""
+        """Register counters in `metrics`."""
         self.until: dict[ProcessId, Deadline] = {}
         self.learned = metrics.counter(
             "agatetack_target_pushbacks_total",
@@ -66,13 +66,13 @@
             self.sends.add({"kind": kind.value}, 0)
 
     def restore(self, target: TargetState) -> None:
-        """Let `target`, registered anew, have the time that it asked for."""
+        """Restore the pushback of `target` after it was registered again."""
         target.pushback_until = self.until.get(
             target.process, target.pushback_until
         )
 
     def note_sent(self, target: TargetState, kind: SendKind) -> None:
-        """Count what this host sends to a target that wants nothing."""
+        """Count a request that this host sends during a pushback."""
         if trio.current_time() < target.pushback_until:
             self.sends.inc({"kind": kind.value})
 
@@ -83,13 +83,13 @@
         headers: Headers,
         source: ReportSource,
     ) -> None:
-        """Take what an answer of `target` says.
+        """Record the pushback, if any, in a response of `target`.
 
         Args:
-            target: Who answered.
-            status: The answer's status.
-            headers: The answer's headers, names in lower case.
-            source: What it answers.
+            target: The target that sent the response.
+            status: The response's status.
+            headers: The response's headers, names in lower case.
+            source: What kind of request it responds to.
         """
         if status not in TURNED_AWAY_STATUSES:
             return
@@ -108,7 +108,7 @@
             self._note(target, min(read.value, LONGEST_SECONDS), source)
 
     def note_taken(self, target: TargetState) -> None:
-        """Note that `target` took a request of this host."""
+        """Note that `target` accepted a request of this host."""
         target.pushbacks = 0
 
     def _note(
@@ -117,7 +117,8 @@
         self.learned.inc({"source": source.value})
         now = Deadline(trio.current_time())
         if now >= target.pushback_until:
-            # Those that were under way with the first say nothing new.
+            # Responses to requests sent before the pushback arrived are not
+            # counted as further pushbacks.
             target.pushbacks += 1
         until = Deadline(now + _grown(seconds, target.pushbacks))
         if until <= target.pushback_until:
@@ -143,6 +144,6 @@
 
 
 def _grown(seconds: float, pushbacks: int) -> float:
-    """Return for how long a target is left alone that asked for `seconds`."""
+    """Return the length of a pushback for which a target asked `seconds`."""
     longest = max(seconds, LONGEST_GROWN_SECONDS)
     return min(seconds * GROWTH ** min(pushbacks - 1, 10), longest)
--- a/agatetack/targets/rate_limit.py
+++ b/agatetack/targets/rate_limit.py
@@ -1,4 +1,4 @@
-"""Read and hold how many requests a second a target says that it takes."""
+"""Parse and store the rate limit that a target reports."""
 
 import dataclasses
 import math
@@ -12,14 +12,14 @@
 from agatetack.ids import Deadline
 
 MAX_RATE = 1e6
-"""Highest rate that is believed, in requests a second."""
+"""Highest rate limit that is accepted, in requests per second."""
 
 
 def read_rate(values: Sequence[bytes]) -> ReadDecimal:
-    """Return the rate, in requests a second from all hosts together.
+    """Return the rate limit for all hosts together, in requests per second.
 
     Args:
-        values: One value for each field of that name, in their order.
+        values: The values of all header fields with that name, in order.
     """
     read = read_decimal(values, MAX_RATE)
     if read.value == 0:
@@ -29,12 +29,12 @@
 
 @dataclasses.dataclass(slots=True)
 class RateLimit:
-    """What is known of the rate that a target takes from all hosts together.
+    """The rate limit of a target for all hosts together, as far as known.
 
     Attributes:
-        rate: Requests a second; None while it names none.
-        said_at: When it said so itself, to this host or another.
-        since: When it first named a rate, after having named none.
+        rate: Requests per second; None while it reports no limit.
+        said_at: When the target last reported, to this host or another.
+        since: When it last reported a limit after having reported none.
     """
 
     rate: float | None = None
@@ -43,13 +43,13 @@
 
     @property
     def known(self) -> bool:
-        """Return whether it ever named a rate, in force or not."""
+        """Return whether it ever reported a limit, in force or not."""
         return self.since != -math.inf
 
     def note(self, rate: float | None, said_at: Deadline) -> bool:
-        """Take its word of `said_at`; return whether that changed the rate.
+        """Record what it reported at `said_at`; return whether that changed.
 
-        An older word than the one that is known changes nothing.
+        A report older than the last one is ignored.
         """
         if said_at < self.said_at:
             return False
--- a/agatetack/targets/rate_limits.py
+++ b/agatetack/targets/rate_limits.py
@@ -1,4 +1,4 @@
-"""Learn from answers which targets limit their rate, and tell operators."""
+"""Track rate limits that targets report, and export them as metrics."""
 
 import enum
 from collections.abc import Sequence
@@ -15,13 +15,17 @@
 from agatetack.targets.state import ReportSource, TargetState
 
 MAX_SHOWN_TARGETS = 200
-"""Targets with a rate of their own among the counters."""
+"""Maximum number of targets whose rate limit is exported as a metric."""
 
 decisions = DecisionLog("targets")
 
 
 class SendKind(enum.Enum):
-    """What reaches a target from this host."""
+    """The kinds of requests that this host sends to a target.
+
+    `LOOK` is a load request just before a caller's request, `PROBE` one of
+    the background prober.
+    """
 
     REQUEST = "request"
     LOOK = "look"
@@ -29,15 +33,15 @@
 
 
 class RateLimits:
-    """The rates that targets take from all hosts together.
+    """The rate limits of targets for all hosts together.
 
     Attributes:
-        name: The header that holds a rate, or None if targets name none.
-        shown: The targets whose rate stands among the counters.
+        name: The header that reports a rate, or None if not configured.
+        shown: The targets whose rate is exported as a metric.
     """
 
     def __init__(self, settings: Settings, metrics: Metrics):
-        """Read the header that `settings` name."""
+        """Read the header name from `settings` and register the metrics."""
         name = settings.targets.headers.rate_limit
         self.name = None if name is None else name.encode()
         self.reports = metrics.counter(
@@ -64,26 +68,26 @@
         self.shown: set[TargetId] = set()
 
     def forget(self, target: TargetState) -> None:
-        """Show no rate of a target that is gone."""
+        """Export a rate of 0 for a target that was removed."""
         if target.id in self.shown:
             self.rates.set({"target": target.id}, 0.0)
 
     def note_sent(self, target: TargetState, kind: SendKind) -> None:
-        """Count what this host sends to a target that limits its rate."""
+        """Count a request that this host sends to a target with a limit."""
         if target.rate_limit.rate is not None:
             self.sends.inc({"kind": kind.value})
 
     def note_answer(
         self, target: TargetState, headers: Headers, sent_at: Deadline
     ) -> None:
-        """Take what the answer to a request says, or that it says nothing.
+        """Record the rate, or its absence, in the response to a request.
 
         Args:
             target: The target, which ran the request.
-            headers: The answer's headers, names in lower case.
-            sent_at: When the request was sent. An answer that names no rate
-                may have left the target before one that did; it ends the
-                limit only if its request was sent after that was known.
+            headers: The response's headers, names in lower case.
+            sent_at: When the request was sent. A response without a rate may
+                have left the target before one with a rate. It ends the limit
+                only if its request was sent after the last report.
         """
         values = self._values(headers)
         if values:
@@ -97,10 +101,10 @@
         headers: Headers,
         source: ReportSource,
     ) -> None:
-        """Take the rate that an answer of the load path names.
+        """Record the rate, if any, in a response of the load path.
 
-        One that names none says nothing: targets may name their rate only in
-        answers to requests.
+        A missing rate is ignored: targets may report their rate only in
+        responses to requests.
         """
         values = self._values(headers)
         if values:
@@ -109,12 +113,12 @@
     def note_told(
         self, target: TargetState, rate: float, said_at: Deadline
     ) -> None:
-        """Take what a peer told of the rate of `target`.
+        """Record the rate of `target` as reported by a peer.
 
         Args:
             target: The target.
-            rate: Requests a second; 0 if it names none any more.
-            said_at: When the target said so to whoever told first.
+            rate: Requests per second; 0 if it no longer reports a limit.
+            said_at: When the target reported it to the first host.
         """
         if not 0 <= rate <= MAX_RATE:
             self._refuse(target, DecimalProblem.OUT_OF_RANGE, ReportSource.PEER)
--- a/agatetack/targets/registry.py
+++ b/agatetack/targets/registry.py
@@ -1,7 +1,7 @@
 """Keep the targets of each service and decide which may get new work.
 
-Any sign that a target is leaving stops new work there at once; what comes
-later is weighed against it.
+Any sign that a target is leaving stops new work there at once. Later evidence
+that it is back is weighed against the sign.
 """
 
 from collections.abc import Callable, Iterable, Mapping, Sequence, Set
@@ -50,27 +50,29 @@
 
     Attributes:
         by_id: Every known target.
-        by_process: The same targets, by this start of their process.
-        departures: The targets that leave.
+        by_process: The same targets, by process incarnation.
+        usable: The targets of each service that may get new work.
+        departures: The targets that are leaving.
         drained: Targets that an operator drained; they get no new work.
         evacuated: Failure domains whose targets get no new work.
-        warm_up_rates: Requests a second that a cold target of each service
-            takes from all hosts, where that is known.
-        rate_limits: Takes what targets say of the rate that they take.
-        pushbacks: Takes for how long targets want nothing of this host.
+        warm_up_rates: Requests per second that a cold target of each service
+            accepts from all hosts, where that is known.
+        rate_limits: Tracks the rate limits that targets report.
+        pushbacks: Tracks the pushbacks of targets for this host.
         watchers: Called with the service when its targets change or a load
             report arrives; must not block or raise.
-        report_watchers: Called with the target and each report taken.
+        report_watchers: Called with the target and each report accepted.
         changes: How often the set of known targets has changed.
-        listing_watchers: Called with all known targets when there are others.
+        listing_watchers: Called with all known targets when the set of known
+            targets has changed.
         choice_watchers: Called with the service after each choice, so that
             probes go where choices are made.
-        changed_watchers: Called with a target that this host found slow, or
-            no longer so.
-        in_flight_watchers: Called with a target when the number of requests
-            that this host has there changed.
+        changed_watchers: Called with a target that this host found to be slow
+            or no longer slow.
+        in_flight_watchers: Called with a target when the number of this host's
+            requests there changed.
         leaving_watchers: Called with the target and the sign when this host
-            itself sees a sign, so that peers can be told.
+            itself sees a sign, so that peers can be informed.
     """
 
     def __init__(self, settings: Settings, metrics: Metrics):
@@ -83,8 +85,8 @@
         self.drained: set[TargetId] = set()
         self.evacuated: Set[FailureDomain] = frozenset()
         self.warm_up_rates: Mapping[ServiceId, float] = {}
-        # Targets check the instance that a request names, so that it stands
-        # for one start of a process.
+        # If the settings name an instance header, targets check the instance
+        # in each request, so that an id stands for one process incarnation.
         self.departures = Departures(
             settings.balance.leaving_hold_seconds,
             settings.targets.headers.instance is not None,
@@ -109,7 +111,7 @@
 
     @property
     def leaving(self) -> Mapping[TargetId, LeavingRecord]:
-        """Return why targets are leaving, by target."""
+        """Return the records of leaving targets."""
         return self.departures.records
 
     @property
@@ -128,7 +130,7 @@
 
         Args:
             service: The service.
-            regions: The regions; empty for all there are.
+            regions: The regions; empty for all.
         """
         targets = self.targets(service)
         if not regions:
@@ -140,7 +142,7 @@
         return host.regions.get(target.failure_domain, host.region)
 
     def update(self, listed: Sequence[ListedHost]) -> None:
-        """Take a new host list; gateways in it are skipped."""
+        """Apply a new host list; gateways in it are skipped."""
         now = Deadline(trio.current_time())
         changes = self.changes
         seen: set[TargetId] = set()
@@ -152,7 +154,7 @@
             seen.add(target_id)
             target = self.by_id.get(target_id)
             if target is not None and _incarnation(host) > target.incarnation:
-                # It was started again, and nothing of before holds.
+                # The process was restarted, so its earlier state is void.
                 changed.add(self._remove(target_id, now).service)
                 self.drained.discard(target_id)
                 target = None
@@ -175,7 +177,7 @@
         self._rebuild(changed)
 
     def note_report(self, target: TargetState, report: LoadReport) -> None:
-        """Take a load report; one older than the present one is dropped."""
+        """Record a load report unless it is older than the current one."""
         self.metrics.measured.inc(
             {"source": MEASURE_KINDS[report.source].value}
         )
@@ -191,7 +193,7 @@
     def note_load(
         self, target: TargetState, load: ReadLoad, source: ReportSource
     ) -> LoadReport:
-        """Take what `target` itself said just now of its load."""
+        """Record the load that `target` itself has just reported."""
         report = LoadReport(
             in_flight=load.in_flight,
             slots=target.slots if load.slots is None else load.slots,
@@ -207,7 +209,7 @@
     def note_asked(
         self, target: TargetState, load: ReadLoad, source: ReportSource
     ) -> LoadReport:
-        """Take what the load path of `target` answered just now."""
+        """Record what the load path of `target` has just reported."""
         if load.warm_up_seconds is not None:
             now = Deadline(trio.current_time())
             warm_at = Deadline(now + load.warm_up_seconds)
@@ -215,14 +217,14 @@
         return self.note_load(target, load, source)
 
     def note_sent(self, target: TargetState, kind: SendKind) -> None:
-        """Note what this host sends to `target`, requests or not."""
+        """Count a request or probe that this host sends to `target`."""
         self.rate_limits.note_sent(target, kind)
         self.pushbacks.note_sent(target, kind)
 
     def note_warmth(
         self, target: TargetState, warm_at: Deadline, said_at: Deadline
     ) -> None:
-        """Take the word of `target` itself, of `said_at`, when it is warm."""
+        """Record when `target` is warm, as it reported at `said_at`."""
         now = Deadline(trio.current_time())
         before = target.warmth.is_cold(now)
         target.warmth.note(warm_at, said_at)
@@ -238,43 +240,43 @@
             )
 
     def set_warm_up_rates(self, rates: Mapping[ServiceId, float]) -> None:
-        """Note how many requests a second cold targets of services take."""
+        """Set the requests per second that cold targets of services accept."""
         self.warm_up_rates = rates
         for target in self.by_id.values():
             target.warm_up_rate = rates.get(target.service, 0.0)
 
     def note_leaving(self, target: TargetState, why: LeavingSign) -> None:
-        """Stop new work at `target` at once and let peers be told."""
+        """Stop new work at `target` at once and have peers informed."""
         self.counters.signs.inc({"sign": why.value})
         if self.departures.is_final(target.id):
-            # It says so in each answer; peers were told of the first.
+            # It repeats this in each response; peers know the first one.
             return
         self._leave(target, why)
         for watcher in self.leaving_watchers:
             watcher(target, why)
 
     def note_told(self, target: TargetState, why: LeavingSign) -> None:
-        """Stop new work at `target` as a peer does that saw a sign.
+        """Stop new work at `target` because a peer reported a sign.
 
-        The kind of sign is kept, so that all hosts hold the target alike.
+        The kind of sign is kept, so that all hosts hold the target equally.
         """
         self.counters.signs.inc({"sign": LeavingSign.PEER.value})
         self._leave(target, why)
 
     def note_changed(self, target: TargetState) -> None:
-        """Note that this host found `target` slow, or no longer so."""
+        """Note that this host found `target` to be slow or no longer slow."""
         if target.learned.slow:
             self.counters.slow.inc({"service": target.service})
         for watcher in self.changed_watchers:
             watcher(target)
 
     def note_in_flight(self, target: TargetState) -> None:
-        """Note that this host has more or fewer requests at `target`."""
+        """Note that the number of this host's requests at `target` changed."""
         for watcher in self.in_flight_watchers:
             watcher(target)
 
     def note_probe(self, target: TargetState, state: ReportedState) -> None:
-        """Weigh what the load endpoint, reached just now, says of a target."""
+        """Apply the state that a probe of `target`'s load endpoint reported."""
         now = Deadline(trio.current_time())
         if state is ReportedState.DRAINING:
             if target.status is not TargetStatus.LEAVING:
@@ -289,7 +291,7 @@
             self._return(target, now)
 
     def warm(self, target: TargetState, now: Deadline) -> None:
-        """Make a cold target ready once its ramp is over."""
+        """Make a cold target ready once its warm-up is over."""
         if target.warm_up_rate:
             over = not target.warmth.is_cold(now)
         else:
@@ -300,17 +302,17 @@
             target.status_since = now
 
     def leaving_targets(self) -> Iterable[TargetState]:
-        """Return the targets whose hold is over, to be probed for return."""
+        """Return the leaving targets to probe, as their hold is over."""
         over = self.departures.over(Deadline(trio.current_time()))
         for target_id in over:
             if target_id not in self.by_id:
-                # It is gone, and its hold would keep out nothing any more.
+                # It is no longer listed, and its hold is over.
                 self.departures.forget(target_id)
         targets = [self.by_id[each] for each in over if each in self.by_id]
         return [each for each in targets if self.may_be_probed(each)]
 
     def may_be_probed(self, target: TargetState) -> bool:
-        """Return whether a probe of `target` is allowed and of any use."""
+        """Return whether a probe of `target` is allowed and useful."""
         if target.failure_domain in self.evacuated:
             return False
         now = Deadline(trio.current_time())
@@ -318,7 +320,7 @@
 
     def _leave(self, target: TargetState, why: LeavingSign) -> None:
         if self.by_id.get(target.id, target) is not target:
-            # The sign is of an earlier start of the target.
+            # The sign is about an earlier incarnation of the target.
             return
         now = Deadline(trio.current_time())
         self.departures.note_sign(target, why, now)
@@ -345,15 +347,16 @@
         elif record.sign is LeavingSign.HOST_LIST:
             record.listed_live = False
         else:
-            # Peers read the list themselves, so they are told only once.
+            # Peers read the host list themselves, so only the first listing as
+            # leaving is reported to them.
             record.hold(now, self.departures.hold_seconds)
 
     def _note_listed_leaving(self, target: TargetState) -> None:
         if self.settings.platform.store.endpoint is None:
             self.note_leaving(target, LeavingSign.HOST_LIST)
             return
-        # What one host reads of a store reaches all as it stands there; told
-        # as a sign by each of a hundred hosts, it would be passed on by each.
+        # All hosts read the same list from the store. If each of a hundred
+        # hosts also reported the sign, each would forward all these reports.
         self.counters.signs.inc({"sign": LeavingSign.HOST_LIST.value})
         self._leave(target, LeavingSign.HOST_LIST)
 
@@ -383,7 +386,7 @@
         self.departures.forget_earlier(target)
         record = self.departures.get(target.id)
         if record is not None:
-            # It was off the list in between, so this is a new process.
+            # It was unlisted in between, so this is a new process.
             record.restarted = True
             record.listed_leaving = False
             target.status = TargetStatus.LEAVING
@@ -406,7 +409,7 @@
         target.warmth.doubt(now)
         target.failures = 0
         self.counters.returned.inc({"sign": record.sign.value})
-        log.info("target %s gets work again", target.id)
+        log.info("Target %s may get new work again.", target.id)
         self._rebuild((target.service,))
 
     def _rebuild(self, services: Iterable[ServiceId]) -> None:
@@ -428,7 +431,7 @@
         return target.status in (TargetStatus.COLD, TargetStatus.READY)
 
     def set_evacuated(self, domains: Set[FailureDomain]) -> None:
-        """Give the targets of `domains` no new work, and all others some."""
+        """Stop new work at the targets of `domains` and allow it elsewhere."""
         changed = domains ^ self.evacuated
         over = self.evacuated - domains
         now = Deadline(trio.current_time())
@@ -443,10 +446,10 @@
         )
 
     def set_drained(self, target_id: TargetId, drained: bool) -> None:
-        """Give a target no new work, or let it have some again.
+        """Stop new work at a target, or allow it again.
 
-        An operator's mark stands beside the signs of the target itself and
-        may come before the target is known.
+        An operator's mark is independent of the signs that a target is leaving
+        and may arrive before the target is known.
         """
         if drained:
             self.drained.add(target_id)
@@ -457,11 +460,11 @@
             self._rebuild((target.service,))
 
     def notify(self, service: ServiceId) -> None:
-        """Tell watchers that targets of `service` may have changed."""
+        """Notify watchers that targets of `service` may have changed."""
         for watcher in self.watchers:
             watcher(service)
 
 
 def _incarnation(host: ListedHost) -> int:
-    """Return when the target's process started, in Unix ms; 0 if not said."""
+    """Return when the process started, in Unix ms; 0 if not known."""
     return host.incarnation if isinstance(host, ListedTarget) else 0
--- a/agatetack/targets/state.py
+++ b/agatetack/targets/state.py
@@ -1,4 +1,4 @@
-"""Hold what this host knows of each target."""
+"""Define the state that this host keeps for each target."""
 
 import dataclasses
 import enum
@@ -18,7 +18,7 @@
 from agatetack.targets.warmth import Warmth
 
 RECENT_LATENCIES = 64
-"""How many of a target's latest latencies are kept."""
+"""Number of recent response times kept for each target."""
 
 
 class TargetStatus(enum.Enum):
@@ -31,7 +31,7 @@
 
 
 class ReportSource(enum.Enum):
-    """Where a load report came from."""
+    """How a load report was received."""
 
     ANSWER = "answer"
     PROBE = "probe"
@@ -40,16 +40,17 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class LoadReport:
-    """What a target said of its own load, which may be late or wrong.
+    """A load report of a target, which may be outdated or wrong.
 
     Attributes:
-        in_flight: Requests running or waiting there, from all gateways.
-        slots: Requests that can run at the same time.
-        own_in_flight: What this host had there when the report came.
+        in_flight: Requests running or queued there, from all hosts.
+        slots: Requests that it can run concurrently.
+        own_in_flight: This host's requests there when the report arrived.
         at: When the report was received.
-        source: Where it came from.
-        slowness: How many times longer than usual work took there then.
-        told_in_flight: What the other hosts said they had there when it came.
+        source: How it was received.
+        slowness: How many times longer than usual work took there.
+        told_in_flight: The requests that the other hosts had reported to have
+            there when the report arrived.
     """
 
     in_flight: int
@@ -63,40 +64,40 @@
 
 @dataclasses.dataclass(slots=True)
 class TargetState:
-    """What this host knows of one start of a target's process.
+    """What this host knows of one process incarnation of a target.
 
     Attributes:
-        id: Its name: `ip:port`, or what the platform calls it.
+        id: `ip:port`, or its id on the platform.
         service: The service it belongs to.
-        ip: Its IP number.
+        ip: Its IP address.
         port: Its port.
-        failure_domain: Where it is.
-        incarnation: When its process started, in Unix ms; 0 if not said.
+        failure_domain: The failure domain it runs in.
+        incarnation: When its process started, in Unix ms; 0 if not known.
         status: Whether it may get new work.
         status_since: When the status last changed.
-        in_flight: Requests of this host there now; exact.
-        told_in_flight: Requests that the other hosts say they have there.
-        told_by_all: Whether all hosts that send there tell this one of it.
-        room_at: When it is this host's turn to take a slot that another host
-            gave up there.
-        slots: Requests it can run at the same time.
-        limit: Most requests this host puts there at the same time.
+        in_flight: Requests of this host in flight there; exact.
+        told_in_flight: Requests that the other hosts report to have there.
+        told_by_all: Whether all hosts that send there report that to this host.
+        room_at: When it is this host's turn to use a slot that another host
+            released there.
+        slots: Requests that it can run concurrently.
+        limit: Maximum number of concurrent requests of this host there.
         report: Its latest load report, or None.
-        report_uses: Choices that the latest report has served.
-        latency: Moving average of answer times, in seconds, or None.
-        recent: Latest answer times, in seconds.
-        last_answer_at: When it last answered, or None.
+        report_uses: Number of choices based on the latest report.
+        latency: Moving average of response times, in seconds, or None.
+        recent: Latest response times, in seconds.
+        last_answer_at: When it last responded, or None.
         last_chosen_at: When it was last chosen, or None.
-        failures: Failed attempts since the last answer.
+        failures: Failed attempts since the last response.
         idle_connections: Open connections of this host without a request.
-        answer_bytes: Moving size of its answers' bodies.
-        learned: What this host's balancing has learned of it.
-        warmth: Whether it has warmed up.
-        warm_up_rate: Requests a second that it takes from all hosts while it
-            is cold; 0 if nobody said so.
-        rate_limit: The rate that it takes from all hosts, if it named one.
-        pushback_until: Until when it wants nothing of this host, by its word.
-        pushbacks: How often it said so since it last took a request.
+        answer_bytes: Moving average of the size of its response bodies.
+        learned: What this host's load balancing has learned about it.
+        warmth: When it has warmed up.
+        warm_up_rate: Requests per second that it accepts from all hosts while
+            it is cold; 0 if not known.
+        rate_limit: The rate that it accepts from all hosts, if it reported one.
+        pushback_until: When the last pushback for this host ends.
+        pushbacks: Number of pushbacks since it last accepted a request.
     """
 
     id: TargetId
@@ -132,22 +133,22 @@
     pushbacks: int = 0
 
     def warms_up(self, now: Deadline) -> bool:
-        """Return whether it may be cold, and takes only so many requests."""
+        """Return whether it may be cold and limits its rate meanwhile."""
         return self.warm_up_rate > 0 and self.warmth.is_cold(now)
 
     def is_willing(self, now: Deadline) -> bool:
-        """Return whether it wants anything of this host, as far as is known."""
+        """Return whether it accepts requests of this host, as far as known."""
         ends = self.status in (TargetStatus.LEAVING, TargetStatus.GONE)
         return not ends and now >= self.pushback_until
 
     @property
     def on_trial(self) -> bool:
-        """Return whether it has taken no request since it pushed back."""
+        """Return whether it has accepted no request since a pushback."""
         return self.pushbacks > 0
 
     @property
     def process(self) -> ProcessId:
-        """Return the name of this start of the target's process."""
+        """Return the id of this process incarnation of the target."""
         if not self.incarnation:
             return ProcessId(self.id)
         return ProcessId(f"{self.id}/{self.incarnation}")
--- a/agatetack/targets/test_answer_check.py
+++ b/agatetack/targets/test_answer_check.py
@@ -1,4 +1,4 @@
-"""Test whose answer is taken, by bytes as a target may send them."""
+"""Test which responses are accepted, on bytes that a target may send."""
 
 import pytest
 
@@ -103,7 +103,7 @@
         (answer(status=b"421 Misdirected Request"), True, True),
         (answer(None, status=b"421 Misdirected Request"), True, True),
         (answer(status=b"429 Too Many", extra=MARK), True, True),
-        # A success can't have been left out.
+        # A success can't report that the request was not run.
         (answer(extra=MARK), True, False),
         (answer(status=b"500 Error"), True, False),
     ],
@@ -141,10 +141,10 @@
 @pytest.mark.parametrize(
     ("kind", "fault", "statuses", "runs"),
     [
-        # Answers to other requests are passed over, whatever the kind.
+        # Responses to other requests are skipped for both route types.
         ("idempotent", {"extra_answer": True}, {200}, 3),
         ("non_idempotent", {"extra_answer": True}, {200}, 3),
-        # Shed requests may be told as not run, others never.
+        # Only shed requests may be reported as not run.
         ("non_idempotent", {"shed_above": 0}, {503}, 0),
         ("non_idempotent", {"answer_lost": True}, {502}, 3),
         ("non_idempotent", {"stray_bytes": b"junk"}, {200}, 3),
--- a/agatetack/targets/test_http_client.py
+++ b/agatetack/targets/test_http_client.py
@@ -1,4 +1,4 @@
-"""Check what becomes of a request with targets that misbehave."""
+"""Test how requests to misbehaving targets end."""
 
 import contextlib
 import os
@@ -52,7 +52,7 @@
 
 
 class Caller:
-    """Calls one raw target."""
+    """Calls a `RawTarget` through an HTTP client."""
 
     def __init__(self, target, state):
         self.target = target
@@ -93,7 +93,7 @@
 
 
 def sends(*parts, close=False):
-    """Answer each request with `parts`, pausing between them."""
+    """Respond to each request with `parts`, pausing after each."""
 
     async def script(stream, number):
         while True:
@@ -298,7 +298,7 @@
 
 
 class Parts(Body):
-    """A streamed request body; an exception among its parts is raised."""
+    """Streams `parts` as a request body and raises exceptions among them."""
 
     def __init__(self, *parts):
         self.parts = list(parts)
@@ -345,7 +345,7 @@
 
 
 def silent_after(requests):
-    """Answer some requests on the first three connections, then go silent."""
+    """Go silent after some responses on the first three connections."""
 
     async def script(stream, number):
         for _ in range(requests if number < 3 else 1000):
@@ -423,8 +423,8 @@
         assert [header.name for header in answer.headers] == [b"x-b"]
 
 
-# Guards against: a request that had leave to go to a target was sent there
-# after the target had said that it wants none.
+# Guards against: a request was sent to its chosen target after the target had
+# announced a pushback or that it was leaving.
 @pytest.mark.parametrize(
     ("status", "pushed_back"),
     [
@@ -447,11 +447,11 @@
         assert failure.reason is RefusalReason.TARGET_UNWILLING
         assert failure.outcome is Outcome.NOT_RUN
         assert not failure.sent
-        # The connection is kept for later.
+        # The connection stays in the pool.
         assert caller.pool.open_count == len(caller.pool.idle) == 1
 
 
-# Guards against: the pushback was lost with a body that never ends.
+# Guards against: a pushback was ignored if the response body never ended.
 async def test_a_pushback_is_known_once_the_head_is_read():
     head = (
         b"HTTP/1.1 503 Full\r\nretry-after: 3\r\nx-target-outcome: not-run"
@@ -463,8 +463,8 @@
         assert caller.state.pushback_until > trio.current_time() + 1.0
 
 
-# Guards against: a pushback was lost if another attempt was answered
-# in the same moment.
+# Guards against: a pushback was ignored if the attempt was cancelled, because
+# another attempt got its response at the same moment.
 async def test_the_pushback_of_an_answer_that_comes_too_late_is_known():
     answer = OK.replace(
         b"200 OK", b"503 Full\r\nretry-after: 3\r\nx-target-outcome: not-run"
@@ -473,7 +473,8 @@
 
     async def script(stream, number):
         await stream.receive_some()
-        # Both in one step of this task, so that the caller's comes after.
+        # No checkpoint in between, so that the caller's task runs after
+        # both.
         os.write(stream.socket.fileno(), answer)
         scope.cancel()
 
--- a/agatetack/targets/test_look.py
+++ b/agatetack/targets/test_look.py
@@ -1,4 +1,4 @@
-"""Test how often targets are looked at, and what a look makes of an answer."""
+"""Test the rate of pre-send probes and which responses to them count."""
 
 import pytest
 import trio
@@ -82,7 +82,7 @@
         (answer(OWN), False),
         (answer(LOAD), False),
         (answer(b"instance-id: other\r\n", LOAD), False),
-        # What it says of a request is no word on its load.
+        # A response to a caller's request is not a load report.
         (answer(OWN, LOAD, b"request-id: r1\r\n"), False),
         (answer(OWN, LOAD, b"not-executed: 1\r\n"), False),
         (answer(OWN, LOAD, b"connection: close\r\n"), False),
@@ -107,7 +107,7 @@
         deadline = Deadline(trio.current_time() + 1.0)
         report = await look.ask(target, deadline)
         assert (report is not None) is told
-        # A connection with anything else on it is not used again.
+        # The connection is reused only after a valid response.
         pool = look.pools.pool(target.process)
         assert bool(pool.idle) is told
         nursery.cancel_scope.cancel()
--- a/agatetack/targets/test_parser.py
+++ b/agatetack/targets/test_parser.py
@@ -1,4 +1,4 @@
-"""Check that no bytes of a target are taken for a whole answer wrongly."""
+"""Test that malformed or cut responses are never parsed as complete."""
 
 import hypothesis
 import pytest
--- a/agatetack/targets/test_pushbacks.py
+++ b/agatetack/targets/test_pushbacks.py
@@ -1,4 +1,4 @@
-"""Test what is believed of a target that asks to be left alone."""
+"""Test which pushbacks of targets are accepted and how long they last."""
 
 import pytest
 import trio
@@ -37,7 +37,7 @@
         (503, (b"999999",), LONGEST_SECONDS),
         (503, (b"0",), None),
         (503, (), None),
-        # Of these it says nothing of its own load.
+        # These statuses do not mean that the target is overloaded.
         (500, (b"3",), None),
         (200, (b"3",), None),
         (421, (b"3",), None),
@@ -99,8 +99,8 @@
     assert pushbacks.sends.get({"kind": "look"}) == counted
 
 
-# Guards against: a target that turned everything away was tried again each
-# time that it had asked for, by every host, as it reported no load.
+# Guards against: every host retried a target that rejected everything as soon
+# as each pushback ended, as such a target reports no load.
 @pytest.mark.parametrize(
     ("taken_before", "waits"),
     [
--- a/agatetack/targets/test_rate_limit.py
+++ b/agatetack/targets/test_rate_limit.py
@@ -1,4 +1,4 @@
-"""Test what is read and believed of the rate that a target names."""
+"""Test which rate limits of targets are accepted and kept."""
 
 import math
 
@@ -47,12 +47,12 @@
     [
         ([], None, -math.inf),
         ([(2.0, 10.0)], 2.0, 10.0),
-        # It falls and rises; the limit is still the same one.
+        # A change of the rate does not start a new limit.
         ([(2.0, 10.0), (0.5, 11.0), (3.0, 12.0)], 3.0, 10.0),
-        # It ends and comes again.
+        # The limit ends and starts again.
         ([(2.0, 10.0), (None, 11.0)], None, 10.0),
         ([(2.0, 10.0), (None, 11.0), (2.0, 12.0)], 2.0, 12.0),
-        # An older word, told late, changes nothing.
+        # A report older than the last one is ignored.
         ([(2.0, 10.0), (None, 9.0)], 2.0, 10.0),
         ([(2.0, 10.0), (3.0, 9.0)], 2.0, 10.0),
     ],
--- a/agatetack/targets/test_registry.py
+++ b/agatetack/targets/test_registry.py
@@ -1,4 +1,4 @@
-"""Test which targets may get new work, sign by sign."""
+"""Test which targets may get new work after signs that they are leaving."""
 
 import dataclasses
 
@@ -32,7 +32,7 @@
 
 @dataclasses.dataclass
 class Listed:
-    """A list that names the target in this state, or not at all."""
+    """A host list with the target in `state`, or without it if None."""
 
     state: HostState | None
 
@@ -50,7 +50,7 @@
         registry.note_probe(target, step)
 
 
-# A host that a peer told of the signs holds the target like that peer.
+# Signs reported by a peer must have the same effect as signs seen here.
 @pytest.mark.parametrize("told", [False, True])
 @pytest.mark.parametrize(
     ("steps", "usable"),
@@ -62,40 +62,41 @@
         ([Listed(LEAVING)], False),
         ([ReportedState.DRAINING], False),
         ([Listed(None)], False),
-        # The list lags: its "live" alone brings nothing back.
+        # "Live" in the host list, which may be outdated, is not enough.
         ([HEADER, Listed(LIVE)], False),
         ([HEADER, HOLD + 1, Listed(LIVE)], False),
-        # The load endpoint misleads: its "ready" alone does not either.
+        # "Ready" from the load endpoint, which may be wrong, is not enough.
         ([HEADER, READY], False),
         ([HEADER, HOLD + 1, READY], False),
-        # Nor do both together, while the target never went away.
+        # Both together are not enough if there was no restart.
         ([HEADER, HOLD + 1, Listed(LIVE), READY], False),
         ([HEADER, 31 * HOLD, Listed(LIVE), READY], True),
-        # A restart is seen by a refused connection or a cold start.
+        # A refused connection or a cold state shows a restart.
         ([HEADER, REFUSED, HOLD + 1, Listed(LIVE), READY], True),
         ([HEADER, HOLD + 1, Listed(LIVE), COLD], True),
         ([HEADER, HOLD - 1, Listed(LIVE), COLD], False),
         ([HEADER, Listed(None), Listed(LIVE)], False),
         ([HEADER, Listed(None), HOLD + 1, Listed(LIVE), READY], True),
-        # A refused connection is taken back by fresh good evidence only.
+        # Only new evidence of both kinds revokes a refused connection.
         ([REFUSED, HOLD + 1, READY], False),
         ([REFUSED, HOLD + 1, Listed(LIVE), READY], True),
         ([REFUSED, HOLD - 1, Listed(LIVE), READY], False),
         ([REFUSED, HOLD - 1, REFUSED, 2, Listed(LIVE), READY], False),
-        # The platform takes its own word back.
+        # The platform revokes its own listing as leaving.
         ([Listed(LEAVING), HOLD + 1, Listed(LIVE), READY], True),
         ([Listed(LEAVING), HOLD + 1, Listed(LEAVING), READY], False),
-        # The strongest sign counts, whichever came first.
+        # The strongest sign counts, regardless of the order.
         ([HEADER, Listed(LEAVING), HOLD + 1, Listed(LIVE), READY], False),
         ([Listed(LEAVING), HEADER, HOLD + 1, Listed(LIVE), READY], False),
         ([REFUSED, HEADER, HOLD + 1, Listed(LIVE), READY], False),
-        # The hold runs from the list's last word, also after another sign.
+        # Each listing as leaving restarts the hold, also after another
+        # sign.
         (
             [HEADER, REFUSED, HOLD, Listed(LEAVING), HOLD, Listed(LEAVING)]
             + [HOLD - 1, Listed(LIVE), READY],
             False,
         ),
-        # The hold doubles for one that comes and goes.
+        # The hold doubles after each return.
         (
             [REFUSED, HOLD + 1, Listed(LIVE), READY, REFUSED]
             + [HOLD + 1, Listed(LIVE), READY],
@@ -144,7 +145,7 @@
     registry.update([listed_target(2)])
     await trio.sleep(HOLD + 1)
     assert list(registry.leaving_targets()) == []
-    # What is held against it goes too, once it can't come back by it.
+    # The record of an unlisted target is dropped once its hold is over.
     assert one.id not in registry.leaving
 
 
@@ -173,7 +174,7 @@
     assert after.process != before.process
     assert (after.in_flight, after.told_in_flight) == (0, 0)
     assert after.failures == 0
-    # What is said of the earlier start reaches only that one.
+    # Signs about the earlier incarnation do not affect the new one.
     assert registry.by_process.get(before.process) is None
     registry.note_leaving(before, sign)
     assert registry.targets(SERVICE) == (after,)
@@ -213,15 +214,15 @@
     registry.update(listed)
     found = [target.id for target in registry.targets(SERVICE)]
     assert sorted(found) == usable
-    # What gets no work is not probed either.
+    # Targets that get no work are not probed either.
     probed = [
         t.id for t in registry.by_id.values() if registry.may_be_probed(t)
     ]
     assert sorted(probed) == usable
 
 
-# Guards against: a target that had said that it leaves got work again as the
-# list named it live once more.
+# Guards against: a target that had announced that it was leaving got work again
+# because the host list showed it as live again.
 @pytest.mark.parametrize(
     ("steps", "usable"),
     [
@@ -230,7 +231,7 @@
         ([HEADER, Listed(None), 31 * HOLD, Listed(LIVE), READY], False),
         ([HEADER, REFUSED, HOLD + 1, Listed(LIVE), READY], False),
         ([ReportedState.DRAINING, 31 * HOLD, Listed(LIVE), READY], False),
-        # What others say of it may still be taken back.
+        # Signs that do not come from the target itself can be revoked.
         ([REFUSED, HOLD + 1, Listed(LIVE), READY], True),
         ([Listed(LEAVING), HOLD + 1, Listed(LIVE), READY], True),
     ],
--- a/agatetack/targets/test_targets_that_say_they_leave.py
+++ b/agatetack/targets/test_targets_that_say_they_leave.py
@@ -1,4 +1,4 @@
-"""Test that a target which says in its answers that it leaves is let go."""
+"""Test that a target gets no requests after its responses announce leaving."""
 
 import pytest
 import trio
@@ -8,11 +8,11 @@
 PER_SECOND = 34.0
 
 DRAIN_SECONDS = 2.0
-"""How long requests may still reach a target that has said so."""
+"""How long requests may still reach a target after its announcement."""
 
 
-# Guards against: a target said in all its answers that it leaves, and hosts
-# sent to it for as long as the list had it as live.
+# Guards against: a target announced in all its responses that it was leaving,
+# and hosts sent requests to it while the host list showed it as live.
 @pytest.mark.parametrize(
     ("hosts", "linked"), [(1, False), (2, True), (14, True), (14, False)]
 )
@@ -28,8 +28,8 @@
         assert fleet.sent_to_leaving(target, DRAIN_SECONDS) == []
 
 
-# Guards against: a target that had said that it leaves was off the list for a
-# while, as after an outage of the store, and was taken for a new one.
+# Guards against: a target that had announced that it was leaving was unlisted
+# for a while, as after an outage of the store, and then treated as new.
 async def test_it_gets_none_when_it_is_listed_again(
     autojump_clock, monkeypatch
 ):
@@ -38,7 +38,7 @@
         target = fleet.targets[0]
         target.faults.leaving = True
         await fleet.press(3.0, PER_SECOND, seed=2)
-        # It says nothing more, so that only what is remembered counts.
+        # It repeats no announcement, so the hosts must remember the first.
         target.faults.leaving = False
         fleet.list_targets(fleet.targets[1:])
         await trio.sleep(5.0)
--- a/agatetack/targets/test_warmth.py
+++ b/agatetack/targets/test_warmth.py
@@ -1,4 +1,4 @@
-"""Test what is believed of a target's warmth, word by word."""
+"""Test how reports and registrations change a target's warmth."""
 
 import math
 
@@ -13,10 +13,10 @@
         ([], 0.0, -math.inf),
         ([("listed", 13.0, 10.0)], 13.0, 10.0),
         ([("note", 13.0, 10.0)], 13.0, 10.0),
-        # The target's word goes before a registration, which is late.
+        # A report of the target overrides a registration, which lags.
         ([("listed", 13.5, 10.0), ("note", 13.0, 11.0)], 13.0, 10.0),
         ([("note", 10.0, 10.0), ("listed", 12.0, 10.5)], 12.0, 10.5),
-        # A registration that is told again is no new word.
+        # A repeated registration changes nothing.
         (
             [
                 ("listed", 13.0, 10.0),
@@ -26,15 +26,15 @@
             11.0,
             10.0,
         ),
-        # An older word, told late, changes nothing.
+        # A report older than the last one is ignored.
         ([("note", 13.0, 10.0), ("note", 9.0, 9.0)], 13.0, 10.0),
-        # What shows a restart holds until the target says something after it.
+        # A doubt holds until the target reports after it.
         ([("doubt", 10.0)], math.inf, 10.0),
         ([("doubt", 10.0), ("note", 9.5, 9.5)], math.inf, 10.0),
         ([("doubt", 10.0), ("listed", 12.0, 11.0)], math.inf, 10.0),
         ([("doubt", 10.0), ("note", 10.2, 10.2)], 10.2, 10.0),
         ([("doubt", 10.0), ("note", 13.2, 10.2)], 13.2, 10.0),
-        # Cold again while it warmed up, and once more after that.
+        # Cold again during the warm-up, and after it.
         ([("note", 13.0, 10.0), ("note", 15.0, 12.0)], 15.0, 10.0),
         ([("note", 13.0, 10.0), ("note", 17.0, 14.0)], 17.0, 14.0),
     ],
--- a/agatetack/targets/warmth.py
+++ b/agatetack/targets/warmth.py
@@ -1,4 +1,4 @@
-"""Hold whether a target has warmed up after its start, by its own word."""
+"""Track whether a target has warmed up, as it reports itself."""
 
 import dataclasses
 import math
@@ -6,24 +6,25 @@
 from agatetack.ids import Deadline
 
 NEVER_SAID = Deadline(-math.inf)
-"""When a target said something that never has."""
+"""Value of `said_at` and `cold_since` before the first such event."""
 
 UNKNOWN = Deadline(math.inf)
-"""When a target is warm of which nobody knows that."""
+"""Value of `warm_at` while it is not known when the target is warm."""
 
 
 @dataclasses.dataclass(slots=True)
 class Warmth:
-    """What is known of how warm a target is.
+    """When a target is warm, as far as this host knows.
 
-    A target may turn cold at any moment, by a restart or without one. So
-    whatever suggests a restart makes it cold until it has said something since.
+    A target may become cold at any time, with or without a restart. So any
+    sign of a restart makes it count as cold until it reports again.
 
     Attributes:
-        warm_at: When it is warm; `UNKNOWN` while nobody knows.
-        said_at: When it said so itself, or when that became doubtful.
-        listed_warm_at: The same as `warm_at` by its last registration.
-        cold_since: When it was found cold last, having been warm.
+        warm_at: When it is warm; `UNKNOWN` while that is not known.
+        said_at: When it reported that itself, or when the report became
+            doubtful.
+        listed_warm_at: When it is warm according to its last registration.
+        cold_since: When it was last found to be cold after it had been warm.
     """
 
     warm_at: Deadline = Deadline(0.0)
@@ -33,12 +34,12 @@
 
     @property
     def known(self) -> bool:
-        """Return whether anybody knows when the target is warm."""
+        """Return whether it is known when the target is warm."""
         return self.warm_at != UNKNOWN
 
     @property
     def said(self) -> bool:
-        """Return whether that is the target's own word."""
+        """Return whether the target itself has reported when it is warm."""
         return self.known and self.said_at != NEVER_SAID
 
     def is_cold(self, now: Deadline) -> bool:
@@ -46,20 +47,24 @@
         return now < self.warm_at
 
     def note(self, warm_at: Deadline, said_at: Deadline) -> None:
-        """Take the target's word of `said_at`, unless a later one is known."""
+        """Record what the target reported at `said_at`, unless outdated."""
         if said_at >= self.said_at:
             self._set(warm_at, said_at)
             self.said_at = said_at
 
     def note_listed(self, warm_at: Deadline, now: Deadline) -> None:
-        """Take a registration, which is late and so can't end a doubt."""
+        """Record a registration.
+
+        It may be outdated, so it can make the target warm only later than
+        known, and can't make a doubtful target count as warm.
+        """
         if warm_at == self.listed_warm_at:
             return
         self.listed_warm_at = warm_at
         self._set(max(self.warm_at, warm_at), now)
 
     def doubt(self, now: Deadline) -> None:
-        """Take the target for cold until it says something after `now`."""
+        """Treat the target as cold until it reports after `now`."""
         self._set(UNKNOWN, now)
         self.said_at = now
 
