--- a/agatetack/quarantine/liveness.py
+++ b/agatetack/quarantine/liveness.py
@@ -1,4 +1,4 @@
-"""Find out whether a target went down when a connection was lost."""
+"""Check whether a target crashed when a connection to it was lost."""
 
 import abc
 
@@ -9,11 +9,11 @@
 from agatetack.targets.registry import TargetRegistry
 
 REPORT_DELAY_SECONDS = 0.1
-"""Longest time that a report is on its way, from its target by a peer."""
+"""Maximum delay of a load report that a peer forwards from its target."""
 
 
 class LivenessCheck(abc.ABC):
-    """A way to tell a crashed target from one lost connection."""
+    """Distinguishes a crashed target from a single lost connection."""
 
     @abc.abstractmethod
     async def stayed_up(
@@ -23,22 +23,22 @@
 
 
 class PoolLivenessCheck(LivenessCheck):
-    """Looks at the target's other connections.
+    """Checks the target's other connections.
 
-    A process that went down took all its connections with it, even if it was
-    started again at once. A connection opened before the loss that is still
-    quiet proves that the target stayed up; a new connection would not.
+    When a process crashes, all its connections are closed, even if it is
+    restarted at once. A connection that was opened before the loss and is still
+    open and idle proves that the target stayed up; a newer one does not.
     """
 
     def __init__(self, pools: TargetPools):
-        """Look at the connections in `pools`."""
+        """Check the connections in `pools`."""
         self.pools = pools
 
     async def stayed_up(
         self, target: ProcessId, lost_at: Deadline, until: Deadline
     ) -> bool:
         """Return whether `target` surely did not go down at `lost_at`."""
-        # The ends of its other connections may arrive a little later.
+        # The closing of its other connections may be noticed a little later.
         await trio.sleep_until((lost_at + until) / 2)
         return any(
             connection.opened_at < lost_at and connection.is_quiet()
@@ -47,14 +47,14 @@
 
 
 class ReportLivenessCheck(LivenessCheck):
-    """Looks for a load report that the same process gave after the loss.
+    """Checks for a load report that the same process sent after the loss.
 
-    It takes targets that are named by process, as one that is started again
-    at the same address would report just as well.
+    This needs target ids that identify the process: with ids by address, a
+    restarted target would send such reports too.
     """
 
     def __init__(self, registry: TargetRegistry):
-        """Look at the reports in `registry`."""
+        """Check the load reports in `registry`."""
         self.registry = registry
 
     async def stayed_up(
@@ -65,5 +65,5 @@
         known = self.registry.by_process.get(target)
         if known is None or known.report is None:
             return False
-        # A report just after the loss may have left the target before it.
+        # A report received just after the loss may have been sent before it.
         return known.report.at > lost_at + REPORT_DELAY_SECONDS
--- a/agatetack/quarantine/local_tracker.py
+++ b/agatetack/quarantine/local_tracker.py
@@ -1,9 +1,10 @@
 """Count targets that a request crashed, and refuse it after two.
 
-A lost connection counts at once, so that no third target is spent while the
-second is looked at. It is taken back when the target turns out to be alive, or
-when any target answers the request: a request that is popular is answered
-within moments of an unlucky crash, so it is never held for long.
+A lost connection counts at once, so that the request can't crash a third target
+while the second one is checked. The count is reverted if the target is found to
+be alive, or when any target responds to the request. A request that is sent
+often and coincides with a crash by chance gets a response soon after, so it is
+never refused for long.
 """
 
 import collections
@@ -26,24 +27,26 @@
 from agatetack.thrift_codec import MalformedMessage, decode, encode
 
 CONFIRM_BACKLOG = 1000
-"""Lost connections waiting to be looked into; more are dropped."""
+"""Maximum number of lost connections that wait to be checked; further ones are
+not checked."""
 
 REPEAT_SECONDS = 2.0
-"""How often the losses seen here are told to peers again."""
+"""Interval at which losses seen by this host are published again."""
 
 REPEAT_FOR_SECONDS = 2 * REPEAT_SECONDS
-"""A loss is told again for this long."""
+"""For how long a loss is published again."""
 
 RETOLD_SECONDS = 5 * REPEAT_SECONDS
-"""A peer that tells of the same target's loss again within this time means the
-one that is known; one told later is another."""
+"""Within this time a notice about a loss of the same target and request is a
+repetition; later it is a new loss."""
 
 ANSWERED_SECONDS = 10.0
-"""How long an answer speaks for a request: one that crashes its targets gets
-none, and one that is lost beside it may be lost beside it twice."""
+"""For how long a response raises the number of crashes at which its request is
+refused, by one. A request that crashes its targets gets no response, while a
+harmless one may lose two targets to crashes by another request."""
 
 MAX_ANSWERED = 4096
-"""Requests of which the last answer is remembered."""
+"""Maximum number of requests whose last response is remembered."""
 
 FINGERPRINT_BYTES = 16
 
@@ -53,16 +56,16 @@
 
 @dataclasses.dataclass(slots=True)
 class Suspicion:
-    """What is held against one request.
+    """The crashes that one request is suspected of.
 
     Attributes:
         route: Its route.
         service: The route's service.
-        crashed: When each target was lost to it.
-        seen_here: Those of these targets that this host itself lost.
-        forget_at: When it is forgotten, unless more happens.
-        held_until: When it may run again, or None if it may now.
-        refusals: How often it was refused here.
+        crashed: When each target was lost while it ran the request.
+        seen_here: The targets whose loss this host itself saw.
+        forget_at: When the suspicion expires, unless there are more losses.
+        held_until: Until when the request is refused, or None if it is not.
+        refusals: How often this host refused it.
     """
 
     route: RouteId
@@ -83,8 +86,8 @@
         route: Its route.
         service: The route's service.
         target: The target.
-        at: When it was lost, or when this host was told of it.
-        here: Whether this host lost it, not a peer.
+        at: When it was lost, or when this host received the notice of it.
+        here: Whether this host lost it, rather than a peer.
     """
 
     fingerprint: Fingerprint
@@ -96,11 +99,12 @@
 
 
 class LocalCrashTracker(CrashTracker):
-    """Counts crashes seen here and told by peers.
+    """Counts crashes seen by this host or reported by peers.
 
     Attributes:
-        suspicions: What is held against requests, oldest first.
-        answers: Until when the last answer speaks for a request, oldest first.
+        suspicions: The suspected requests, oldest first.
+        answers: Until when the last response to a request raises the number of
+            crashes at which it is refused; oldest first.
     """
 
     def __init__(
@@ -110,7 +114,7 @@
         liveness: LivenessCheck,
         metrics: Metrics,
     ):
-        """Hear of crashes through `exchange` too."""
+        """Subscribe to the crash notices of peers in `exchange`."""
         self.limits = settings.quarantine
         self.exchange = exchange
         self.liveness = liveness
@@ -147,7 +151,7 @@
             suspicion.held_until,
         )
         if route.request_class is RequestClass.ONCE:
-            # An earlier attempt with the same key may have run.
+            # An earlier attempt with the same idempotency key may have run.
             return dataclasses.replace(refusal, outcome=Outcome.UNKNOWN)
         return refusal
 
@@ -158,7 +162,7 @@
     def connection_lost(
         self, route: Route, request: CallerRequest, target: ProcessId
     ) -> None:
-        """Note that `target` dropped the connection while it ran this."""
+        """Note that `target` lost the connection while it ran `request`."""
         print_ = fingerprint(route, request)
         now = Deadline(trio.current_time())
         self.crashes.inc({"result": "suspected"})
@@ -176,7 +180,7 @@
             )
 
     def answered(self, route: Route, request: CallerRequest) -> None:
-        """Note that a target answered this request, so it is harmless."""
+        """Note that a target responded to `request`, so it is harmless."""
         print_ = fingerprint(route, request)
         self._note_answer(print_)
         if self._forget(print_):
@@ -190,12 +194,12 @@
             self.answers.popitem(last=False)
 
     def _most_crashes(self, print_: Fingerprint, now: Deadline) -> int:
-        """Return at how many crashes the request is held back."""
+        """Return the number of crashes at which the request is refused."""
         spoken_for = self.answers.get(print_, now) > now
         return self.limits.crashes + (1 if spoken_for else 0)
 
     def release(self, print_: Fingerprint) -> bool:
-        """Let a request run again, and return whether it was suspected."""
+        """Stop refusing a request; return whether it was suspected."""
         known = self._forget(print_)
         self._publish(print_, CrashEvent.RELEASED)
         return known
@@ -213,7 +217,7 @@
             suspicion.seen_here.add(event.target)
         if len(suspicion.crashed) >= self._most_crashes(print_, now):
             if suspicion.held_until is None:
-                log.warning("Request %s is held back.", print_.hex())
+                log.warning("Request %s is quarantined.", print_.hex())
             suspicion.held_until = Deadline(now + self.limits.hold_seconds)
         suspicion.forget_at = max(
             suspicion.held_until or Deadline(0.0),
@@ -236,8 +240,8 @@
             del self.suspicions[print_]
 
     def _forget(self, print_: Fingerprint) -> bool:
-        # The gauge costs a look at every suspicion, and this is asked at each
-        # answer while there are any.
+        # Updating the gauge visits every suspicion, and this method is called
+        # for each response while there are any.
         known = self.suspicions.pop(print_, None) is not None
         if known:
             self._update_gauge()
@@ -286,7 +290,7 @@
         suspicion = self.suspicions.get(print_)
         lost_at = None if suspicion is None else suspicion.crashed.get(target)
         if lost_at is not None and now - lost_at < RETOLD_SECONDS:
-            # Hosts that renewed the hold at each telling would never end it.
+            # If hosts renewed the hold at each repetition, it would never end.
             return
         self._count(
             CrashSighting(
@@ -303,20 +307,20 @@
         self.metrics.dropped.inc(
             {"part": "quarantine", "reason": "malformed-notice"}
         )
-        log.warning("A notice of %s is malformed.", sender)
+        log.warning("A crash notice from %s is malformed.", sender)
 
     async def run(self) -> None:
-        """Look into lost connections and tell peers again; for ever."""
+        """Check lost connections and repeat notices; runs until cancelled."""
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self._repeat)
             async for loss in self.losses_out:
                 nursery.start_soon(self._look_into, loss)
 
     async def _repeat(self) -> None:
-        """Tell peers again what is held, as a message may have been lost.
+        """Repeat notices about refused requests, as messages may be lost.
 
-        Only the host that saw a loss tells it again: if each host did that was
-        told of it, the telling would never end.
+        Only the host that saw a loss repeats it. If the hosts that received
+        the notice repeated it too, the repetitions would never end.
         """
         while True:
             await trio.sleep(REPEAT_SECONDS)
@@ -342,7 +346,7 @@
                 )
 
     async def _look_into(self, loss: CrashSighting) -> None:
-        """Take a suspicion back if the target did not go down."""
+        """Revert a suspicion if the target did not crash."""
         until = Deadline(loss.at + self.limits.confirm_seconds)
         if not await self.liveness.stayed_up(loss.target, loss.at, until):
             self.crashes.inc({"result": "confirmed"})
--- a/agatetack/quarantine/test_liveness.py
+++ b/agatetack/quarantine/test_liveness.py
@@ -1,4 +1,4 @@
-"""Test what shows that a target stayed up when a connection was lost."""
+"""Test which reports show that a target survived a lost connection."""
 
 import pytest
 import trio
@@ -17,7 +17,7 @@
     [
         (0.5, True, True),
         (1.4, True, True),
-        # It may have been on its way when the target went down.
+        # The report may have been sent before the target crashed.
         (0.05, True, False),
         (-1.0, True, False),
         (None, True, False),
--- a/agatetack/quarantine/test_local_tracker.py
+++ b/agatetack/quarantine/test_local_tracker.py
@@ -1,4 +1,4 @@
-"""Check which requests are refused for crashing targets."""
+"""Test which requests are refused for crashing targets."""
 
 import dataclasses
 
@@ -56,7 +56,7 @@
 
 
 class Link(NoExchange):
-    """Brings messages to the other ends at once; may lose them."""
+    """Delivers messages to other links at once, or drops them if `lossy`."""
 
     def __init__(self):
         self.others = []
@@ -72,7 +72,7 @@
 
 
 class Liveness(LivenessCheck):
-    """Says what a test wants."""
+    """Returns a fixed result."""
 
     def __init__(self, up):
         self.up = up
@@ -276,7 +276,7 @@
         nursery.start_soon(one.run)
         for number in range(settings.quarantine.crashes):
             one.connection_lost(ROUTE, make_request(), TargetId(f"t{number}"))
-        # Until the targets were looked at, nothing is held against it.
+        # Losses do not count until the targets were checked.
         assert one.check(ROUTE, make_request()) is None
         await trio.sleep(2)
         for tracker in (one, other):
@@ -285,7 +285,8 @@
         nursery.cancel_scope.cancel()
 
 
-# Guards against holding back a request that meets a crashing one twice.
+# Guards against: a harmless request was refused because two of its targets were
+# crashed by another request.
 @pytest.mark.parametrize(
     ("since_answer", "lost", "held"),
     [
--- a/agatetack/quarantine/tracker.py
+++ b/agatetack/quarantine/tracker.py
@@ -1,4 +1,4 @@
-"""Define how requests that crash targets are found and refused."""
+"""Define the interface that detects and refuses crashing requests."""
 
 import abc
 from typing import NewType
@@ -11,13 +11,13 @@
 from agatetack.outcomes import Refusal
 
 Fingerprint = NewType("Fingerprint", bytes)
-"""A hash over route, method, path, body and key of a request."""
+"""A hash of a request's route, method, path, key and body."""
 
 SEPARATOR = b"\0"
 
 
 class CrashTracker(abc.ABC):
-    """Requests suspected to crash targets."""
+    """Tracks requests that are suspected of crashing targets."""
 
     @abc.abstractmethod
     def check(self, route: Route, request: CallerRequest) -> Refusal | None:
@@ -27,17 +27,17 @@
     def connection_lost(
         self, route: Route, request: CallerRequest, target: ProcessId
     ) -> None:
-        """Note that `target` dropped the connection while it ran this."""
+        """Note that `target` lost the connection while it ran `request`."""
 
     @abc.abstractmethod
     def answered(self, route: Route, request: CallerRequest) -> None:
-        """Note that a target answered this request, so it is harmless."""
+        """Note that a target responded to `request`, so it is harmless."""
 
 
 def fingerprint(route: Route, request: CallerRequest) -> Fingerprint:
-    """Return a hash over what makes a target run the same work.
+    """Return a hash that is equal for requests that run the same work.
 
-    A body too large to be held in memory counts by its length alone.
+    Only the length of a body is hashed if it is too large to keep in memory.
     """
     digest = xxhash.xxh3_128(route.id.encode())
     digest.update(SEPARATOR + request.method + SEPARATOR + request.path)
