--- a/agatetack/balance/fleet_view.py
+++ b/agatetack/balance/fleet_view.py
@@ -201,7 +201,7 @@
         cost = self.network(target) + service * (1 + wait)
         if not target.idle_connections:
             cost += CONNECT_SHARE * typical
-        if not target.told_by_all:
+        if not target.all_peers_report:
             cost += UNSHARED_SHARE * typical
         if target.failure_domain != self.domain:
             carried = min(1.0, target.answer_bytes / LARGE_BYTES)
@@ -250,16 +250,16 @@
 
     def expected_load(self, target: TargetState, now: Deadline) -> float:
         """Return how many requests are thought to be at `target` now."""
-        known = target.in_flight + target.told_in_flight
+        known = target.in_flight + target.peer_in_flight
         report = target.report
         if report is None:
             return float(known)
         unseen = report.in_flight - report.own_in_flight
-        unseen -= report.told_in_flight
+        unseen -= report.peer_in_flight
         if unseen <= 0:
             return float(known)
         half_life = UNSEEN_HALF_LIFE_SECONDS
-        if not target.told_by_all:
+        if not target.all_peers_report:
             half_life = UNTOLD_HALF_LIFE_SECONDS
         half_lives = (now - report.at) / half_life
         return known + unseen * 0.5 ** min(half_lives, 60.0)
--- a/agatetack/balance/test_fleet_view.py
+++ b/agatetack/balance/test_fleet_view.py
@@ -40,7 +40,7 @@
         in_flight=in_flight,
         slots=2,
         own_in_flight=target.in_flight,
-        told_in_flight=target.told_in_flight,
+        peer_in_flight=target.peer_in_flight,
         at=Deadline(NOW - age),
         source=ReportSource.PROBE,
         slowness=slowness,
@@ -61,7 +61,7 @@
     if kind == "own":
         target.in_flight = 2
     elif kind == "told":
-        target.told_in_flight = 2
+        target.peer_in_flight = 2
     elif kind == "unseen":
         report(target, in_flight=2, age=0.0)
     elif kind == "slow":
@@ -74,7 +74,7 @@
         target.failures = 2
         target.learned.trial_at = NOW + 1
     elif kind == "last slot":
-        target.told_in_flight = 1
+        target.peer_in_flight = 1
 
 
 @pytest.mark.parametrize(
@@ -128,7 +128,7 @@
 ):
     targets = make_targets()
     for target in targets:
-        target.told_in_flight = target.slots + waiting
+        target.peer_in_flight = target.slots + waiting
     full = waiting >= MOST_WAITING
     assert (choose(targets) == {None}) is full
 
@@ -147,7 +147,7 @@
     for target in targets:
         report(target)
     for target in targets[1:]:
-        target.told_in_flight = target.slots
+        target.peer_in_flight = target.slots
     report(targets[0], slowness=slowness)
     wanted = {targets[0].id} if chosen == "free" else chosen
     assert choose(targets) == wanted
@@ -166,7 +166,7 @@
     targets = make_targets(4)
     for target in targets:
         report(target)
-    targets[0].told_in_flight = 2
+    targets[0].peer_in_flight = 2
     report(targets[1], slowness=4.0)
     targets[2].in_flight = 1
     assert policy.spare(targets, NOW) == targets[2:]
@@ -216,9 +216,9 @@
     targets = make_targets(15)
     own, others = targets[:5], targets[5:]
     for target in own:
-        target.told_in_flight = own_load
+        target.peer_in_flight = own_load
     for target in others:
-        target.told_by_all = False
+        target.all_peers_report = False
     chosen = choose(targets, times=200)
     assert (chosen <= ids(own)) is not spills
     assert bool(chosen & ids(others)) is spills
--- a/agatetack/measure/occupancy.py
+++ b/agatetack/measure/occupancy.py
@@ -159,9 +159,9 @@
         target = self.hashes.find(number)
         if target is None:
             return
-        before = target.told_in_flight
-        target.told_in_flight = self.reported[number].total()
-        if target.told_in_flight < before:
+        before = target.peer_in_flight
+        target.peer_in_flight = self.reported[number].total()
+        if target.peer_in_flight < before:
             self._offer_slot(target, target.in_flight + before)
 
     def _offer_slot(self, target: TargetState, before: int) -> None:
@@ -210,7 +210,7 @@
     def _mark_fully_reported(self) -> None:
         """Set for each target whether all hosts send their counts of it."""
         for target in self.registry.by_id.values():
-            target.told_by_all = self.exchange.shares_target(
+            target.all_peers_report = self.exchange.shares_target(
                 target.id, target.failure_domain
             )
 
--- a/agatetack/measure/samples.py
+++ b/agatetack/measure/samples.py
@@ -269,7 +269,7 @@
     def _on_report(self, target: TargetState, report: LoadReport) -> None:
         # Checks a flag instead of looking up the name, as each report of a
         # target gets here.
-        if self.exchange.is_first_leader and target.told_by_all:
+        if self.exchange.is_first_leader and target.all_peers_report:
             self.far_pending[target.process] = target
             self.far_pending_added.set()
         if report.source is ReportSource.PEER:
@@ -306,7 +306,7 @@
             in_flight=max(0, sample.in_flight),
             slots=max(1, sample.slots or DEFAULT_SLOTS),
             own_in_flight=target.in_flight,
-            told_in_flight=target.told_in_flight,
+            peer_in_flight=target.peer_in_flight,
             at=at,
             source=ReportSource.PEER,
             slowness=max(1, sample.slowness_pct or USUAL_PERCENT)
@@ -318,7 +318,9 @@
             self.registry.note_warmth(target, warm_at, said_at)
         if sample.rate is not None:
             said_at = Deadline(now - max(0, sample.rate_said_ms or 0) / 1000)
-            self.registry.rate_limits.note_told(target, sample.rate, said_at)
+            self.registry.rate_limits.note_peer_rate(
+                target, sample.rate, said_at
+            )
         self.registry.note_report(target, report)
         if sample.service_us and at > target.learned.peer_at:
             target.learned.note_peer(sample.service_us / 1e6, at)
@@ -340,7 +342,7 @@
         if target is not None:
             sign = SIGNS.get(message.sign, LeavingSign.PEER)
             log.info("%s saw %s leaving: %s", sender, target.id, sign.value)
-            self.registry.note_told(target, sign)
+            self.registry.note_peer_sign(target, sign)
 
     def _drop(self, reason: str) -> None:
         self.metrics.dropped.inc({"part": "measure", "reason": reason})
--- a/agatetack/measure/test_occupancy.py
+++ b/agatetack/measure/test_occupancy.py
@@ -61,13 +61,13 @@
         two.set(1)
         three.set(2)
         await trio.sleep(0.01)
-        assert one.target().told_in_flight == 3
-        assert one.target(2).told_in_flight == 0
-        assert two.target().told_in_flight == 2
+        assert one.target().peer_in_flight == 3
+        assert one.target(2).peer_in_flight == 0
+        assert two.target().peer_in_flight == 2
         before = one.slot_notices
         two.set(0)
         await trio.sleep(0.01)
-        assert one.target().told_in_flight == 2
+        assert one.target().peer_in_flight == 2
         # Waiting requests are notified when there is a free slot.
         assert one.slot_notices == before + 1
         nursery.cancel_scope.cancel()
@@ -85,9 +85,9 @@
         two.set(after)
         await trio.sleep(0.01)
         mesh.lost_topics.clear()
-        assert one.target().told_in_flight == before
+        assert one.target().peer_in_flight == before
         await trio.sleep(2)
-        assert one.target().told_in_flight == after
+        assert one.target().peer_in_flight == after
         nursery.cancel_scope.cancel()
 
 
@@ -100,7 +100,7 @@
         await trio.sleep(0.01)
         mesh.leave(two.name)
         await trio.sleep(1)
-        assert one.target().told_in_flight == 0
+        assert one.target().peer_in_flight == 0
         nursery.cancel_scope.cancel()
 
 
@@ -113,7 +113,7 @@
         await trio.sleep(0.01)
         one.list(2)
         await trio.sleep(2)
-        assert one.target(2).told_in_flight == 1
+        assert one.target(2).peer_in_flight == 1
         assert one.registry.targets(SERVICE)
         nursery.cancel_scope.cancel()
 
@@ -125,7 +125,7 @@
         await start(nursery, one, two)
         mesh.hosts[two.name].publish(Topic.IN_FLIGHT, b"junk")
         await trio.sleep(0.01)
-        assert one.target().told_in_flight == 0
+        assert one.target().peer_in_flight == 0
         labels = {"part": "measure", "reason": "counts-malformed"}
         assert one.metrics.dropped.get(labels) == 1
         nursery.cancel_scope.cancel()
@@ -182,7 +182,7 @@
         two.set(2)
         await trio.sleep(0.5)
         assert len(one.notice_times) == before
-        assert one.target().told_in_flight == 2
+        assert one.target().peer_in_flight == 2
         nursery.cancel_scope.cancel()
 
 
@@ -213,6 +213,6 @@
             one.set(count)
             # The mesh delivers messages sent at the same time in any order.
             await trio.sleep(0.01)
-            assert two.target().told_in_flight == count
+            assert two.target().peer_in_flight == count
             assert two.occupancy.sharing.taken == [sample]
         nursery.cancel_scope.cancel()
--- a/agatetack/measure/update_filter.py
+++ b/agatetack/measure/update_filter.py
@@ -89,7 +89,7 @@
 
 def unreported_load(report: LoadReport) -> int:
     """Return the requests at a target that no host reports as its own."""
-    known = report.own_in_flight + report.told_in_flight
+    known = report.own_in_flight + report.peer_in_flight
     return max(0, report.in_flight - known)
 
 
--- a/agatetack/targets/rate_limits.py
+++ b/agatetack/targets/rate_limits.py
@@ -110,7 +110,7 @@
         if values:
             self._take(target, values, source)
 
-    def note_told(
+    def note_peer_rate(
         self, target: TargetState, rate: float, said_at: Deadline
     ) -> None:
         """Record the rate of `target` as reported by a peer.
--- a/agatetack/targets/registry.py
+++ b/agatetack/targets/registry.py
@@ -198,7 +198,7 @@
             in_flight=load.in_flight,
             slots=target.slots if load.slots is None else load.slots,
             own_in_flight=target.in_flight,
-            told_in_flight=target.told_in_flight,
+            peer_in_flight=target.peer_in_flight,
             at=Deadline(trio.current_time()),
             source=source,
             slowness=load.slowness,
@@ -255,7 +255,7 @@
         for watcher in self.leaving_watchers:
             watcher(target, why)
 
-    def note_told(self, target: TargetState, why: LeavingSign) -> None:
+    def note_peer_sign(self, target: TargetState, why: LeavingSign) -> None:
         """Stop new work at `target` because a peer reported a sign.
 
         The kind of sign is kept, so that all hosts hold the target equally.
--- a/agatetack/targets/state.py
+++ b/agatetack/targets/state.py
@@ -49,7 +49,7 @@
         at: When the report was received.
         source: How it was received.
         slowness: How many times longer than usual work took there.
-        told_in_flight: The requests that the other hosts had reported to have
+        peer_in_flight: The requests that the other hosts had reported to have
             there when the report arrived.
     """
 
@@ -59,7 +59,7 @@
     at: Deadline
     source: ReportSource
     slowness: float = USUAL_SLOWNESS
-    told_in_flight: int = 0
+    peer_in_flight: int = 0
 
 
 @dataclasses.dataclass(slots=True)
@@ -76,8 +76,9 @@
         status: Whether it may get new work.
         status_since: When the status last changed.
         in_flight: Requests of this host in flight there; exact.
-        told_in_flight: Requests that the other hosts report to have there.
-        told_by_all: Whether all hosts that send there report that to this host.
+        peer_in_flight: Requests that the other hosts report to have there.
+        all_peers_report: Whether all hosts that send there report their
+            requests to this host.
         room_at: When it is this host's turn to use a slot that another host
             released there.
         slots: Requests that it can run concurrently.
@@ -109,8 +110,8 @@
     status: TargetStatus = TargetStatus.COLD
     status_since: Deadline = Deadline(0.0)
     in_flight: int = 0
-    told_in_flight: int = 0
-    told_by_all: bool = True
+    peer_in_flight: int = 0
+    all_peers_report: bool = True
     room_at: Deadline = Deadline(0.0)
     slots: int = 2
     limit: int = 8
--- a/agatetack/targets/test_registry.py
+++ b/agatetack/targets/test_registry.py
@@ -43,7 +43,7 @@
         listed = [] if step.state is None else [listed_target(1, step.state)]
         registry.update(listed)
     elif isinstance(step, LeavingSign) and told:
-        registry.note_told(target, step)
+        registry.note_peer_sign(target, step)
     elif isinstance(step, LeavingSign):
         registry.note_leaving(target, step)
     elif isinstance(step, ReportedState):
@@ -130,11 +130,11 @@
 async def test_listed_leave_is_told_once(autojump_clock):
     registry = TargetRegistry(default_settings(), Metrics())
     registry.update([listed_target(1)])
-    told = []
-    registry.leaving_watchers.append(lambda _, sign: told.append(sign))
+    reported = []
+    registry.leaving_watchers.append(lambda _, sign: reported.append(sign))
     for step in [HEADER, Listed(LEAVING), Listed(LEAVING), Listed(LEAVING)]:
         apply(registry, step)
-    assert told == [HEADER, LeavingSign.HOST_LIST]
+    assert reported == [HEADER, LeavingSign.HOST_LIST]
 
 
 async def test_a_leaving_target_that_is_gone_is_not_asked(autojump_clock):
@@ -160,7 +160,7 @@
     registry.update([started_target(1, 1000)])
     before = registry.targets(SERVICE)[0]
     before.in_flight = 2
-    before.told_in_flight = 3
+    before.peer_in_flight = 3
     before.failures = 5
     registry.note_leaving(before, sign)
     registry.set_drained(before.id, drained=not gone_between)
@@ -172,7 +172,7 @@
     assert after is not before
     assert after.id == before.id
     assert after.process != before.process
-    assert (after.in_flight, after.told_in_flight) == (0, 0)
+    assert (after.in_flight, after.peer_in_flight) == (0, 0)
     assert after.failures == 0
     # Signs about the earlier incarnation do not affect the new one.
     assert registry.by_process.get(before.process) is None
@@ -254,11 +254,11 @@
 ):
     registry = TargetRegistry(template_settings(1), Metrics())
     registry.update([listed_target(1)])
-    told = []
-    registry.leaving_watchers.append(lambda _, sign: told.append(sign))
+    reported = []
+    registry.leaving_watchers.append(lambda _, sign: reported.append(sign))
     for _ in range(3):
         apply(registry, HEADER)
-    assert told == [HEADER]
+    assert reported == [HEADER]
 
 
 async def test_a_later_start_under_its_id_gets_work(autojump_clock):
--- a/agatetack/test_store_gateway.py
+++ b/agatetack/test_store_gateway.py
@@ -143,8 +143,8 @@
         async with trio.open_nursery() as nursery:
             nursery.start_soon(fleet.get, "/a/x?service_ms=300")
             seen = other.registry.by_id[target.instance]
-            await fleet.until(lambda: seen.told_in_flight == 1)
-        await fleet.until(lambda: seen.told_in_flight == 0)
+            await fleet.until(lambda: seen.peer_in_flight == 1)
+        await fleet.until(lambda: seen.peer_in_flight == 0)
         # One of the two probes the target, the other hears of its load.
         await fleet.until(lambda: target.probes > 3)
         await fleet.until(
