--- a/agatetack/attempts/probing_admission.py
+++ b/agatetack/attempts/probing_admission.py
@@ -23,7 +23,7 @@
 from agatetack.ids import Deadline
 from agatetack.metrics import Metrics
 from agatetack.outcomes import Refusal
-from agatetack.targets.look import TargetLook
+from agatetack.targets.presend_probe import PreSendProber
 from agatetack.targets.state import LoadReport, TargetState
 
 MAX_PROBES = 3
@@ -78,7 +78,7 @@
     """
 
     def __init__(
-        self, inner: AdmissionController, probe: TargetLook, metrics: Metrics
+        self, inner: AdmissionController, probe: PreSendProber, metrics: Metrics
     ):
         """Probe the targets of the permits that `inner` grants."""
         self.inner = inner
@@ -124,7 +124,7 @@
         left = max(0.0, wanted.deadline - now)
         seconds = min(PROBE_TIMEOUT_SECONDS, MAX_PROBE_TIME_RATIO * left)
         try:
-            report = await self.probe.ask(target, Deadline(now + seconds))
+            report = await self.probe.probe(target, Deadline(now + seconds))
         except BaseException:
             permit.release(AttemptResult.CANCELLED)
             raise
--- a/agatetack/attempts/test_probing_admission.py
+++ b/agatetack/attempts/test_probing_admission.py
@@ -95,7 +95,7 @@
     def take(self, target):
         return self.calls < self.limit
 
-    async def ask(self, target, deadline):
+    async def probe(self, target, deadline):
         self.calls += 1
         fields = self.reports[target.id]
         if fields is None:
@@ -212,15 +212,15 @@
 ):
     targets, inner, probing, probe = make([GOOD, GOOD])
     warm_at = Deadline(trio.current_time() + 3.0)
-    inner_ask = probe.ask
+    inner_ask = probe.probe
 
-    async def ask(target, deadline):
+    async def probe_cold(target, deadline):
         said = await inner_ask(target, deadline)
         if target is targets[0]:
             target.warmth.note(warm_at, Deadline(trio.current_time()))
         return said
 
-    probe.ask = ask
+    probe.probe = probe_cold
     for target in targets:
         target.warm_up_rate = rate
     if known_cold:
--- a/agatetack/balance/test_looked_at_cold_targets.py
+++ b/agatetack/balance/test_looked_at_cold_targets.py
@@ -31,7 +31,7 @@
 from agatetack.measure.budget import TokenBucket
 from agatetack.metrics import Metrics
 from agatetack.outcomes import RefusalReason, refuse
-from agatetack.targets.look import BURST_LOOKS
+from agatetack.targets.presend_probe import PRE_SEND_PROBE_BURST
 from agatetack.targets.state import LoadReport, ReportSource
 from agatetack.testing.targets import SERVICE, make_request, make_route
 
@@ -98,16 +98,16 @@
             bucket = TokenBucket(
                 LOOKS_PER_SECOND,
                 lambda: len(fleet.listed),
-                BURST_LOOKS,
+                PRE_SEND_PROBE_BURST,
                 start_seconds=0.0,
             )
-            bucket.tokens = BURST_LOOKS
+            bucket.tokens = PRE_SEND_PROBE_BURST
             self.buckets[target.id] = bucket
 
     def take(self, target):
         return self.buckets[target.id].take()
 
-    async def ask(self, target, deadline):
+    async def probe(self, target, deadline):
         await trio.sleep(LOOK_SECONDS)
         self.fleet.show(target.id, self)
         now = Deadline(trio.current_time())
--- a/agatetack/gateway_core.py
+++ b/agatetack/gateway_core.py
@@ -39,7 +39,7 @@
 from agatetack.settings.model import PolicyName, Settings
 from agatetack.targets.http_client import HttpTargetClient
 from agatetack.targets.load import HeaderLoadReader, LoadReader
-from agatetack.targets.look import TargetLook
+from agatetack.targets.presend_probe import PreSendProber
 from agatetack.targets.registry import TargetRegistry
 from agatetack.tls import ServerTls
 
@@ -196,7 +196,7 @@
         """Return the admission that requests go through."""
         if not self.settings.measure.target_looks_per_second:
             return self.admission
-        look = TargetLook(
+        look = PreSendProber(
             self.settings,
             self.registry,
             self.client.pools,
--- a/agatetack/measure/prober.py
+++ b/agatetack/measure/prober.py
@@ -229,7 +229,7 @@
         self.registry.rate_limits.note_load_answer(
             target, answer.headers, ReportSource.PROBE
         )
-        self.registry.note_asked(target, load, ReportSource.PROBE)
+        self.registry.note_load_response(target, load, ReportSource.PROBE)
         self.registry.note_probe(target, answer.state)
 
     def _record_failure(
--- a/agatetack/targets/look.py
+++ b/agatetack/targets/presend_probe.py
@@ -24,12 +24,12 @@
 from agatetack.targets.registry import LeavingSign, TargetRegistry
 from agatetack.targets.state import LoadReport, ReportSource, TargetState
 
-STRAY_SECONDS = 0.001
+STRAY_WAIT_SECONDS = 0.001
 """How long to wait for stray bytes after the response. A faulty target sends
 them with or just after its response, and they would be parsed as a malformed
 response to the request."""
 
-BURST_LOOKS = 6.0
+PRE_SEND_PROBE_BURST = 6.0
 """Capacity and initial level of a target's token bucket for pre-send probes.
 
 A host sends several requests to one target in a burst. With a capacity of 2,
@@ -39,7 +39,7 @@
 capacity, so the total number of probes is no higher.
 """
 
-GROUP_LOOKS = 0.75
+GROUP_PROBE_RATIO = 0.75
 """Share of the pre-send probes of a target for the hosts of its group, which
 send most of its requests; all other hosts share the rest."""
 
@@ -48,7 +48,7 @@
 load endpoint; a usual response has about 200 bytes."""
 
 
-class TargetLook:
+class PreSendProber:
     """Probes the load of targets just before they get a request.
 
     The probe uses a pooled connection that the request uses next. This needs
@@ -109,28 +109,28 @@
             self._forget_gone()
             bucket = TokenBucket(
                 self.rate,
-                lambda: self._lookers(target),
-                BURST_LOOKS,
+                lambda: self._sharing_hosts(target),
+                PRE_SEND_PROBE_BURST,
                 start_seconds=0.0,
             )
-            bucket.tokens = BURST_LOOKS
+            bucket.tokens = PRE_SEND_PROBE_BURST
             self.buckets[target.process] = bucket
         return bucket
 
-    def _lookers(self, target: TargetState) -> float:
+    def _sharing_hosts(self, target: TargetState) -> float:
         """Return among how many hosts the probe rate of `target` is divided."""
         hosts = self.exchange.group_hosts()
         if not hosts:
             return self.exchange.fleet_size()
         if self.exchange.shares_target(target.id, target.failure_domain):
-            return len(hosts) / GROUP_LOOKS
-        return self.exchange.fleet_size() / (1 - GROUP_LOOKS)
+            return len(hosts) / GROUP_PROBE_RATIO
+        return self.exchange.fleet_size() / (1 - GROUP_PROBE_RATIO)
 
     def _forget_gone(self) -> None:
         for process in self.buckets.keys() - self.registry.by_process.keys():
             del self.buckets[process]
 
-    async def ask(
+    async def probe(
         self, target: TargetState, deadline: Deadline
     ) -> LoadReport | None:
         """Return the target's load, or None if it is not known by `deadline`.
@@ -144,9 +144,9 @@
             if connection is None:
                 return None
             pooled = connection.requests > 0
-            load = await self._ask_on(connection, pool, deadline)
+            load = await self._probe_on(connection, pool, deadline)
             if load is not None:
-                return self.registry.note_asked(
+                return self.registry.note_load_response(
                     target, load, ReportSource.ANSWER
                 )
             now = trio.current_time()
@@ -166,7 +166,7 @@
                 self.registry.note_leaving(target, LeavingSign.CONNECT_REFUSED)
             return None
 
-    async def _ask_on(
+    async def _probe_on(
         self, connection: TargetConnection, pool: TargetPool, deadline: Deadline
     ) -> ReadLoad | None:
         """Probe on `connection`, and close it unless the load is received.
@@ -195,10 +195,12 @@
         path = (self.load_paths or {}).get(
             target.service, self.settings.targets.load_path
         )
-        question = f"GET {path} HTTP/1.1\r\nhost: {target.ip}:{target.port}\r\n"
+        probe_head = (
+            f"GET {path} HTTP/1.1\r\nhost: {target.ip}:{target.port}\r\n"
+        )
         parser = AnswerParser(b"GET", MAX_ANSWER_BYTES)
         try:
-            await connection.send(question.encode() + b"\r\n")
+            await connection.send(probe_head.encode() + b"\r\n")
         except trio.BrokenResourceError:
             return None
         while parser.state is AnswerState.HEAD:
@@ -209,14 +211,14 @@
         while parser.state is AnswerState.BODY:
             await connection.receive_into(parser)
         connection.idle_seconds = parser.keep_alive_seconds
-        if not self._is_own_word(parser, target):
+        if not self._is_load_response(parser, target):
             return None
         self.registry.rate_limits.note_load_answer(
             target, parser.headers, ReportSource.ANSWER
         )
         if load.in_flight is None:
             return None
-        await trio.sleep(STRAY_SECONDS)
+        await trio.sleep(STRAY_WAIT_SECONDS)
         return load if connection.is_quiet() else None
 
     def _note_availability(
@@ -245,7 +247,9 @@
             find_header(parser.headers, name) is not None
         )
 
-    def _is_own_word(self, parser: AnswerParser, target: TargetState) -> bool:
+    def _is_load_response(
+        self, parser: AnswerParser, target: TargetState
+    ) -> bool:
         """Return whether this is a complete response of the load endpoint."""
         if parser.state is not AnswerState.COMPLETE or parser.stray:
             return False
--- a/agatetack/targets/registry.py
+++ b/agatetack/targets/registry.py
@@ -206,7 +206,7 @@
         self.note_report(target, report)
         return report
 
-    def note_asked(
+    def note_load_response(
         self, target: TargetState, load: ReadLoad, source: ReportSource
     ) -> LoadReport:
         """Record what the load path of `target` has just reported."""
--- a/agatetack/targets/test_look.py
+++ b/agatetack/targets/test_presend_probe.py
@@ -8,8 +8,8 @@
 from agatetack.peers.exchange import NoExchange
 from agatetack.platform.load_header import ListLoadReader
 from agatetack.targets.load import LoadReader
-from agatetack.targets.look import BURST_LOOKS, TargetLook
 from agatetack.targets.pool import TargetPools
+from agatetack.targets.presend_probe import PRE_SEND_PROBE_BURST, PreSendProber
 from agatetack.targets.registry import TargetRegistry
 from agatetack.testing.store_fleet import template_settings
 from agatetack.testing.targets import SERVICE, started_target
@@ -17,7 +17,7 @@
 RATE = 30.0
 
 
-def make_look(reader: LoadReader | None = None, hosts=10, paths=None):
+def make_prober(reader: LoadReader | None = None, hosts=10, paths=None):
     settings = template_settings(1)
     measure = settings.measure.copy_with({"target_looks_per_second": RATE})
     settings = settings.copy_with({"measure": measure})
@@ -25,7 +25,7 @@
     registry.update([started_target(1, 1000)])
     exchange = NoExchange()
     exchange.fleet_size = lambda: hosts
-    look = TargetLook(
+    prober = PreSendProber(
         settings,
         registry,
         TargetPools(settings),
@@ -34,35 +34,39 @@
         Metrics(),
         paths,
     )
-    return look, registry.targets(SERVICE)[0]
+    return prober, registry.targets(SERVICE)[0]
 
 
 @pytest.mark.parametrize("hosts", [1, 18, 116])
 async def test_all_hosts_together_keep_to_the_rate(autojump_clock, hosts):
-    look, target = make_look(hosts=hosts)
+    prober, target = make_prober(hosts=hosts)
     seconds, taken = 20.0, 0
     until = trio.current_time() + seconds
     while trio.current_time() < until:
-        taken += look.take(target)
+        taken += prober.take(target)
         await trio.sleep(0.002)
-    most = RATE / hosts * seconds + max(BURST_LOOKS, RATE / hosts * 0.1) + 1
+    most = (
+        RATE / hosts * seconds
+        + max(PRE_SEND_PROBE_BURST, RATE / hosts * 0.1)
+        + 1
+    )
     assert taken <= most
     assert taken >= 0.9 * RATE / hosts * seconds
 
 
 async def test_a_new_start_of_a_target_has_looks_of_its_own(autojump_clock):
-    look, target = make_look(hosts=100)
-    while look.take(target):
+    prober, target = make_prober(hosts=100)
+    while prober.take(target):
         pass
-    look.registry.update([started_target(1, 2000)])
-    after = look.registry.targets(SERVICE)[0]
-    assert look.take(after)
-    assert list(look.buckets) == [after.process]
+    prober.registry.update([started_target(1, 2000)])
+    after = prober.registry.targets(SERVICE)[0]
+    assert prober.take(after)
+    assert list(prober.buckets) == [after.process]
 
 
 async def test_without_a_load_path_no_target_is_looked_at(autojump_clock):
-    look, target = make_look(paths={})
-    assert not look.take(target)
+    prober, target = make_prober(paths={})
+    assert not prober.take(target)
 
 
 OWN = b"instance-id: 10.0.0.1:80\r\n"
@@ -101,14 +105,14 @@
 
     async with trio.open_nursery() as nursery:
         listeners = await nursery.start(trio.serve_tcp, serve, 0)
-        look, target = make_look()
+        prober, target = make_prober()
         target.ip = "127.0.0.1"
         target.port = listeners[0].socket.getsockname()[1]
         deadline = Deadline(trio.current_time() + 1.0)
-        report = await look.ask(target, deadline)
+        report = await prober.probe(target, deadline)
         assert (report is not None) is told
-        # The connection is reused only after a valid response.
-        pool = look.pools.pool(target.process)
+        # The connection is reused only after a told response.
+        pool = prober.pools.pool(target.process)
         assert bool(pool.idle) is told
         nursery.cancel_scope.cancel()
 
@@ -131,11 +135,11 @@
     answered = []
     async with trio.open_nursery() as nursery:
         listeners = await nursery.start(trio.serve_tcp, serve, 0)
-        look, target = make_look()
+        prober, target = make_prober()
         target.ip = "127.0.0.1"
         target.port = listeners[0].socket.getsockname()[1]
         for _ in range(2):
             deadline = Deadline(trio.current_time() + 1.0)
-            assert await look.ask(target, deadline) is not None
+            assert await prober.probe(target, deadline) is not None
         assert len(accepted) == 2
         nursery.cancel_scope.cancel()
