--- a/agatetack/operators/host_view.py
+++ b/agatetack/operators/host_view.py
@@ -162,7 +162,7 @@
     for print_, suspicion in gateway.crashes.suspicions.items():
         held = suspicion.held_until
         refused = held is not None and held > now
-        last = max(suspicion.crashed.values())
+        last = max(suspicion.lost_at_by_target.values())
         found.append(
             request_views.QuarantinedRequest(
                 fingerprint=print_.hex(),
@@ -171,8 +171,8 @@
                 state=request_views.QuarantineState.REFUSED
                 if refused
                 else request_views.QuarantineState.SUSPECTED,
-                crashes=len(suspicion.crashed),
-                target_ids=tuple(suspicion.crashed),
+                crashes=len(suspicion.lost_at_by_target),
+                target_ids=tuple(suspicion.lost_at_by_target),
                 last_crash_unix_ms=_ms(deadline_to_wall(clock, last)),
                 refused_until_unix_ms=_ms(deadline_to_wall(clock, held))
                 if refused
--- a/agatetack/quarantine/local_tracker.py
+++ b/agatetack/quarantine/local_tracker.py
@@ -26,7 +26,7 @@
 from agatetack.settings.model import Settings
 from agatetack.thrift_codec import MalformedMessage, decode, encode
 
-CONFIRM_BACKLOG = 1000
+MAX_PENDING_CHECKS = 1000
 """Maximum number of lost connections that wait to be checked; further ones are
 not checked."""
 
@@ -36,7 +36,7 @@
 REPEAT_FOR_SECONDS = 2 * REPEAT_SECONDS
 """For how long a loss is published again."""
 
-RETOLD_SECONDS = 5 * REPEAT_SECONDS
+REPETITION_WINDOW_SECONDS = 5 * REPEAT_SECONDS
 """Within this time a notice about a loss of the same target and request is a
 repetition; later it is a new loss."""
 
@@ -45,7 +45,7 @@
 refused, by one. A request that crashes its targets gets no response, while a
 harmless one may lose two targets to crashes by another request."""
 
-MAX_ANSWERED = 4096
+MAX_ANSWERED_REQUESTS = 4096
 """Maximum number of requests whose last response is remembered."""
 
 FINGERPRINT_BYTES = 16
@@ -61,8 +61,8 @@
     Attributes:
         route: Its route.
         service: The route's service.
-        crashed: When each target was lost while it ran the request.
-        seen_here: The targets whose loss this host itself saw.
+        lost_at_by_target: When each target was lost while it ran the request.
+        lost_locally: The targets whose loss this host itself saw.
         forget_at: When the suspicion expires, unless there are more losses.
         held_until: Until when the request is refused, or None if it is not.
         refusals: How often this host refused it.
@@ -70,15 +70,15 @@
 
     route: RouteId
     service: ServiceId
-    crashed: dict[ProcessId, Deadline]
+    lost_at_by_target: dict[ProcessId, Deadline]
     forget_at: Deadline
     held_until: Deadline | None = None
     refusals: int = 0
-    seen_here: set[ProcessId] = dataclasses.field(default_factory=set)
+    lost_locally: set[ProcessId] = dataclasses.field(default_factory=set)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class CrashSighting:
+class ConnectionLoss:
     """A connection that was lost while its target ran a request.
 
     Attributes:
@@ -87,7 +87,7 @@
         service: The route's service.
         target: The target.
         at: When it was lost, or when this host received the notice of it.
-        here: Whether this host lost it, rather than a peer.
+        is_local: Whether this host lost it, rather than a peer.
     """
 
     fingerprint: Fingerprint
@@ -95,7 +95,7 @@
     service: ServiceId
     target: ProcessId
     at: Deadline
-    here: bool
+    is_local: bool
 
 
 class LocalCrashTracker(CrashTracker):
@@ -103,8 +103,8 @@
 
     Attributes:
         suspicions: The suspected requests, oldest first.
-        answers: Until when the last response to a request raises the number of
-            crashes at which it is refused; oldest first.
+        answered_until: Until when the last response to a request raises the
+            number of crashes at which it is refused; oldest first.
     """
 
     def __init__(
@@ -122,12 +122,12 @@
         self.suspicions: collections.OrderedDict[Fingerprint, Suspicion] = (
             collections.OrderedDict()
         )
-        self.answers: collections.OrderedDict[Fingerprint, Deadline] = (
+        self.answered_until: collections.OrderedDict[Fingerprint, Deadline] = (
             collections.OrderedDict()
         )
-        self.losses_in, self.losses_out = trio.open_memory_channel[
-            CrashSighting
-        ](CONFIRM_BACKLOG)
+        self.loss_sender, self.loss_receiver = trio.open_memory_channel[
+            ConnectionLoss
+        ](MAX_PENDING_CHECKS)
         self.held = metrics.gauge(
             "agatetack_quarantined", "Requests refused for crashing targets."
         )
@@ -163,17 +163,22 @@
         self, route: Route, request: CallerRequest, target: ProcessId
     ) -> None:
         """Note that `target` lost the connection while it ran `request`."""
-        print_ = fingerprint(route, request)
+        request_fingerprint = fingerprint(route, request)
         now = Deadline(trio.current_time())
         self.crashes.inc({"result": "suspected"})
-        event = CrashSighting(
-            print_, route.id, route.service, target, now, here=True
+        loss = ConnectionLoss(
+            request_fingerprint,
+            route.id,
+            route.service,
+            target,
+            now,
+            is_local=True,
         )
         if not self.limits.confirm_first:
-            self._count(event)
-            self._publish_loss(event)
+            self._count(loss)
+            self._publish_loss(loss)
         try:
-            self.losses_in.send_nowait(event)
+            self.loss_sender.send_nowait(loss)
         except trio.WouldBlock:
             self.metrics.dropped.inc(
                 {"part": "quarantine", "reason": "backlog-full"}
@@ -181,43 +186,51 @@
 
     def answered(self, route: Route, request: CallerRequest) -> None:
         """Note that a target responded to `request`, so it is harmless."""
-        print_ = fingerprint(route, request)
-        self._note_answer(print_)
-        if self._forget(print_):
-            self._publish(print_, CrashEvent.ANSWERED)
+        request_fingerprint = fingerprint(route, request)
+        self._note_answer(request_fingerprint)
+        if self._forget(request_fingerprint):
+            self._publish(request_fingerprint, CrashEvent.ANSWERED)
 
-    def _note_answer(self, print_: Fingerprint) -> None:
+    def _note_answer(self, request_fingerprint: Fingerprint) -> None:
         now = trio.current_time()
-        self.answers[print_] = Deadline(now + ANSWERED_SECONDS)
-        self.answers.move_to_end(print_)
-        if len(self.answers) > MAX_ANSWERED:
-            self.answers.popitem(last=False)
+        self.answered_until[request_fingerprint] = Deadline(
+            now + ANSWERED_SECONDS
+        )
+        self.answered_until.move_to_end(request_fingerprint)
+        if len(self.answered_until) > MAX_ANSWERED_REQUESTS:
+            self.answered_until.popitem(last=False)
 
-    def _most_crashes(self, print_: Fingerprint, now: Deadline) -> int:
+    def _crash_limit(
+        self, request_fingerprint: Fingerprint, now: Deadline
+    ) -> int:
         """Return the number of crashes at which the request is refused."""
-        spoken_for = self.answers.get(print_, now) > now
+        spoken_for = self.answered_until.get(request_fingerprint, now) > now
         return self.limits.crashes + (1 if spoken_for else 0)
 
-    def release(self, print_: Fingerprint) -> bool:
+    def release(self, request_fingerprint: Fingerprint) -> bool:
         """Stop refusing a request; return whether it was suspected."""
-        known = self._forget(print_)
-        self._publish(print_, CrashEvent.RELEASED)
+        known = self._forget(request_fingerprint)
+        self._publish(request_fingerprint, CrashEvent.RELEASED)
         return known
 
-    def _count(self, event: CrashSighting) -> None:
-        now = event.at
+    def _count(self, loss: ConnectionLoss) -> None:
+        now = loss.at
         self._expire(now)
-        print_ = event.fingerprint
-        suspicion = self.suspicions.pop(print_, None)
+        request_fingerprint = loss.fingerprint
+        suspicion = self.suspicions.pop(request_fingerprint, None)
         if suspicion is None:
-            suspicion = Suspicion(event.route, event.service, {}, now)
-        self.suspicions[print_] = suspicion
-        suspicion.crashed[event.target] = now
-        if event.here:
-            suspicion.seen_here.add(event.target)
-        if len(suspicion.crashed) >= self._most_crashes(print_, now):
+            suspicion = Suspicion(loss.route, loss.service, {}, now)
+        self.suspicions[request_fingerprint] = suspicion
+        suspicion.lost_at_by_target[loss.target] = now
+        if loss.is_local:
+            suspicion.lost_locally.add(loss.target)
+        if len(suspicion.lost_at_by_target) >= self._crash_limit(
+            request_fingerprint, now
+        ):
             if suspicion.held_until is None:
-                log.warning("Request %s is quarantined.", print_.hex())
+                log.warning(
+                    "Request %s is quarantined.", request_fingerprint.hex()
+                )
             suspicion.held_until = Deadline(now + self.limits.hold_seconds)
         suspicion.forget_at = max(
             suspicion.held_until or Deadline(0.0),
@@ -232,17 +245,17 @@
 
     def _expire(self, now: Deadline) -> None:
         expired = [
-            print_
-            for print_, suspicion in self.suspicions.items()
+            request_fingerprint
+            for request_fingerprint, suspicion in self.suspicions.items()
             if suspicion.forget_at <= now
         ]
-        for print_ in expired:
-            del self.suspicions[print_]
+        for request_fingerprint in expired:
+            del self.suspicions[request_fingerprint]
 
-    def _forget(self, print_: Fingerprint) -> bool:
+    def _forget(self, request_fingerprint: Fingerprint) -> bool:
         # Updating the gauge visits every suspicion, and this method is called
         # for each response while there are any.
-        known = self.suspicions.pop(print_, None) is not None
+        known = self.suspicions.pop(request_fingerprint, None) is not None
         if known:
             self._update_gauge()
         return known
@@ -251,17 +264,17 @@
         held = sum(1 for s in self.suspicions.values() if self._is_held(s))
         self.held.set({}, held)
 
-    def _publish(self, print_: Fingerprint, event: int) -> None:
-        self._send(CrashNotice(print_, event))
+    def _publish(self, request_fingerprint: Fingerprint, event: int) -> None:
+        self._send(CrashNotice(request_fingerprint, event))
 
-    def _publish_loss(self, event: CrashSighting) -> None:
+    def _publish_loss(self, loss: ConnectionLoss) -> None:
         self._send(
             CrashNotice(
-                event.fingerprint,
+                loss.fingerprint,
                 CrashEvent.LOST,
-                event.target,
-                event.route,
-                event.service,
+                loss.target,
+                loss.route,
+                loss.service,
             )
         )
 
@@ -278,28 +291,34 @@
         if len(notice.fingerprint) != FINGERPRINT_BYTES:
             self._drop_notice(sender)
             return
-        print_ = Fingerprint(notice.fingerprint)
+        request_fingerprint = Fingerprint(notice.fingerprint)
         if notice.event == CrashEvent.LOST and notice.target:
-            self._count_told(print_, notice)
+            self._count_peer_loss(request_fingerprint, notice)
         elif notice.event in (CrashEvent.ANSWERED, CrashEvent.RELEASED):
-            self._forget(print_)
+            self._forget(request_fingerprint)
 
-    def _count_told(self, print_: Fingerprint, notice: CrashNotice) -> None:
+    def _count_peer_loss(
+        self, request_fingerprint: Fingerprint, notice: CrashNotice
+    ) -> None:
         now = Deadline(trio.current_time())
         target = ProcessId(notice.target)
-        suspicion = self.suspicions.get(print_)
-        lost_at = None if suspicion is None else suspicion.crashed.get(target)
-        if lost_at is not None and now - lost_at < RETOLD_SECONDS:
+        suspicion = self.suspicions.get(request_fingerprint)
+        lost_at = (
+            None
+            if suspicion is None
+            else suspicion.lost_at_by_target.get(target)
+        )
+        if lost_at is not None and now - lost_at < REPETITION_WINDOW_SECONDS:
             # If hosts renewed the hold at each repetition, it would never end.
             return
         self._count(
-            CrashSighting(
-                print_,
+            ConnectionLoss(
+                request_fingerprint,
                 RouteId(notice.route or ""),
                 ServiceId(notice.service_name or ""),
                 target,
                 now,
-                here=False,
+                is_local=False,
             )
         )
 
@@ -312,11 +331,11 @@
     async def run(self) -> None:
         """Check lost connections and repeat notices; runs until cancelled."""
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(self._repeat)
-            async for loss in self.losses_out:
-                nursery.start_soon(self._look_into, loss)
+            nursery.start_soon(self._repeat_notices)
+            async for loss in self.loss_receiver:
+                nursery.start_soon(self._check_loss, loss)
 
-    async def _repeat(self) -> None:
+    async def _repeat_notices(self) -> None:
         """Repeat notices about refused requests, as messages may be lost.
 
         Only the host that saw a loss repeats it. If the hosts that received
@@ -325,27 +344,29 @@
         while True:
             await trio.sleep(REPEAT_SECONDS)
             self._expire(Deadline(trio.current_time()))
-            for print_, suspicion in list(self.suspicions.items()):
+            for request_fingerprint, suspicion in list(self.suspicions.items()):
                 if self._is_held(suspicion):
-                    self._tell_again(print_, suspicion)
+                    self._republish_losses(request_fingerprint, suspicion)
 
-    def _tell_again(self, print_: Fingerprint, suspicion: Suspicion) -> None:
+    def _republish_losses(
+        self, request_fingerprint: Fingerprint, suspicion: Suspicion
+    ) -> None:
         oldest = trio.current_time() - REPEAT_FOR_SECONDS
-        for target in suspicion.seen_here:
-            at = suspicion.crashed[target]
+        for target in suspicion.lost_locally:
+            at = suspicion.lost_at_by_target[target]
             if at >= oldest:
                 self._publish_loss(
-                    CrashSighting(
-                        print_,
+                    ConnectionLoss(
+                        request_fingerprint,
                         suspicion.route,
                         suspicion.service,
                         target,
                         at,
-                        here=True,
+                        is_local=True,
                     )
                 )
 
-    async def _look_into(self, loss: CrashSighting) -> None:
+    async def _check_loss(self, loss: ConnectionLoss) -> None:
         """Revert a suspicion if the target did not crash."""
         until = Deadline(loss.at + self.limits.confirm_seconds)
         if not await self.liveness.stayed_up(loss.target, loss.at, until):
@@ -364,7 +385,7 @@
         suspicion = self.suspicions.get(loss.fingerprint)
         if suspicion is None or suspicion.held_until is not None:
             return
-        suspicion.crashed.pop(loss.target, None)
-        suspicion.seen_here.discard(loss.target)
-        if not suspicion.crashed:
+        suspicion.lost_at_by_target.pop(loss.target, None)
+        suspicion.lost_locally.discard(loss.target)
+        if not suspicion.lost_at_by_target:
             self._forget(loss.fingerprint)
--- a/agatetack/quarantine/test_local_tracker.py
+++ b/agatetack/quarantine/test_local_tracker.py
@@ -25,7 +25,7 @@
 from agatetack.quarantine.liveness import LivenessCheck
 from agatetack.quarantine.local_tracker import (
     ANSWERED_SECONDS,
-    MAX_ANSWERED,
+    MAX_ANSWERED_REQUESTS,
     LocalCrashTracker,
 )
 from agatetack.quarantine.tracker import fingerprint
@@ -55,7 +55,7 @@
     )
 
 
-class Link(NoExchange):
+class ExchangeStub(NoExchange):
     """Delivers messages to other links at once, or drops them if `lossy`."""
 
     def __init__(self):
@@ -71,7 +71,7 @@
         self.handlers[topic] = handler
 
 
-class Liveness(LivenessCheck):
+class LivenessStub(LivenessCheck):
     """Returns a fixed result."""
 
     def __init__(self, up):
@@ -83,11 +83,11 @@
 
 
 def make_trackers(count=2, up=False):
-    links = [Link() for _ in range(count)]
+    links = [ExchangeStub() for _ in range(count)]
     for link in links:
         link.others = [other for other in links if other is not link]
     return [
-        LocalCrashTracker(SETTINGS, link, Liveness(up), Metrics())
+        LocalCrashTracker(SETTINGS, link, LivenessStub(up), Metrics())
         for link in links
     ]
 
@@ -268,10 +268,10 @@
     settings = default_settings(
         quarantine={"confirm_first": True, "confirm_seconds": 1.5}
     )
-    one_end, other_end = Link(), Link()
+    one_end, other_end = ExchangeStub(), ExchangeStub()
     one_end.others, other_end.others = [other_end], [one_end]
-    one = LocalCrashTracker(settings, one_end, Liveness(up), Metrics())
-    other = LocalCrashTracker(settings, other_end, Liveness(up), Metrics())
+    one = LocalCrashTracker(settings, one_end, LivenessStub(up), Metrics())
+    other = LocalCrashTracker(settings, other_end, LivenessStub(up), Metrics())
     async with trio.open_nursery() as nursery:
         nursery.start_soon(one.run)
         for number in range(settings.quarantine.crashes):
@@ -312,6 +312,6 @@
 
 async def test_answers_are_remembered_in_bounded_memory(autojump_clock):
     tracker = make_trackers()[0]
-    for number in range(MAX_ANSWERED + 100):
+    for number in range(MAX_ANSWERED_REQUESTS + 100):
         tracker.answered(ROUTE, make_request(path=b"/%d" % number))
-    assert len(tracker.answers) == MAX_ANSWERED
+    assert len(tracker.answered_until) == MAX_ANSWERED_REQUESTS
