--- a/agatetack/targets/answer_check.py
+++ b/agatetack/targets/answer_check.py
@@ -8,9 +8,9 @@
 """Misdirected Request (RFC 9110, 15.5.20): another instance now has this
 address."""
 
-LEAST_FAILURE = 400
-LEAST_SUCCESS = 200
-LEAST_REDIRECT = 300
+MIN_FAILURE_STATUS = 400
+MIN_SUCCESS_STATUS = 200
+MIN_REDIRECT_STATUS = 300
 
 
 class AnswerCheck:
@@ -41,7 +41,7 @@
 
     def is_not_run(self, parser: AnswerParser) -> bool:
         """Return whether the target reports that it did not run the request."""
-        if parser.status < LEAST_FAILURE:
+        if parser.status < MIN_FAILURE_STATUS:
             return False
         if self.is_other_instance(parser):
             return True
@@ -55,7 +55,7 @@
         named = self.instance_name is not None
         return named and parser.status == OTHER_INSTANCE_STATUS
 
-    def is_sound(self, parser: AnswerParser) -> bool:
+    def is_valid(self, parser: AnswerParser) -> bool:
         """Return whether this can be the response to the request.
 
         A success must carry the target's signature header. A response without
@@ -65,7 +65,7 @@
             return False
         if self.signature_name is None:
             return True
-        if not LEAST_SUCCESS <= parser.status < LEAST_REDIRECT:
+        if not MIN_SUCCESS_STATUS <= parser.status < MIN_REDIRECT_STATUS:
             return True
         return find_header(parser.headers, self.signature_name) is not None
 
--- a/agatetack/targets/http_client.py
+++ b/agatetack/targets/http_client.py
@@ -32,7 +32,7 @@
 )
 from agatetack.targets.parser import AnswerParser, AnswerState
 from agatetack.targets.pool import TargetPool, TargetPools
-from agatetack.targets.pushbacks import TURNED_AWAY_STATUSES
+from agatetack.targets.pushbacks import REJECTION_STATUSES
 from agatetack.targets.rate_limits import SendKind
 from agatetack.targets.registry import LeavingSign, TargetRegistry
 from agatetack.targets.state import ReportSource, TargetState
@@ -68,7 +68,7 @@
         self.deadline_name = names.deadline_ms.encode()
         self.attempt_name = encode_name(names.attempt)
         self.instance_name = encode_name(names.instance)
-        self.own_names = frozenset(
+        self.own_header_names = frozenset(
             (self.deadline_name, self.attempt_name, self.instance_name)
         )
         self.check = AnswerCheck(settings)
@@ -115,7 +115,7 @@
         if parser.state is AnswerState.BROKEN:
             pool.discard(connection)
             raise _failed(_broken_reason(parser), suspect=True)
-        if not self.check.is_sound(parser):
+        if not self.check.is_valid(parser):
             pool.discard(connection)
             raise _failed(RefusalReason.ANSWER_MALFORMED, suspect=True)
         self._note_target_limits(attempt.target, parser, sent_at)
@@ -220,7 +220,7 @@
         left_ms = max(0.0, attempt.deadline - trio.current_time()) * 1000
         parts = [b"%b %b HTTP/1.1\r\n" % (request.method, request.path)]
         for name, value in request.headers:
-            if name not in self.own_names:
+            if name not in self.own_header_names:
                 parts.append(b"%b: %b\r\n" % (name, value))
         parts.append(b"%b: %d\r\n" % (self.deadline_name, left_ms))
         for name, value in (
@@ -299,8 +299,8 @@
         if self.check.is_other_instance(parser):
             return
         self._note_pushback(target, parser)
-        if parser.status not in TURNED_AWAY_STATUSES:
-            self.registry.pushbacks.note_taken(target)
+        if parser.status not in REJECTION_STATUSES:
+            self.registry.pushbacks.note_accepted(target)
         if self.check.is_not_run(parser):
             # An overloaded target may reject a request before it adds the
             # rate header, so a missing rate does not end the limit.
--- a/agatetack/targets/pushbacks.py
+++ b/agatetack/targets/pushbacks.py
@@ -17,23 +17,23 @@
 
 HEADER_NAME = b"retry-after"
 
-TURNED_AWAY_STATUSES = frozenset({429, 503})
+REJECTION_STATUSES = frozenset({429, 503})
 """Statuses with which a target rejects a request temporarily."""
 
-LONGEST_SECONDS = 3600.0
+MAX_PUSHBACK_SECONDS = 3600.0
 """Maximum pushback that a target can ask for. Then it is tried again, as no
 other host can report that it accepts requests of this host."""
 
-GROWTH = 2.0
+BACKOFF_FACTOR = 2.0
 """Backoff factor for each further pushback without an accepted request. Each
 trial costs a request one attempt, and a target that rejects everything has the
 lowest load and would be chosen first."""
 
-LONGEST_GROWN_SECONDS = 12.0
-"""Maximum pushback when `GROWTH` lengthens it beyond what the target asked for,
-so that a target that accepts requests again is found in time."""
+MAX_BACKOFF_SECONDS = 12.0
+"""Maximum pushback with `BACKOFF_FACTOR` applied, unless the target asked for
+more. So a target that accepts requests again is found in time."""
 
-MAX_SECONDS = 1e6
+MAX_VALID_SECONDS = 1e6
 """Highest Retry-After value that is accepted as valid."""
 
 decisions = DecisionLog("targets")
@@ -91,10 +91,10 @@
             headers: The response's headers, names in lower case.
             source: What kind of request it responds to.
         """
-        if status not in TURNED_AWAY_STATUSES:
+        if status not in REJECTION_STATUSES:
             return
         values = [value for name, value in headers if name == HEADER_NAME]
-        read = read_decimal(values, MAX_SECONDS)
+        read = read_decimal(values, MAX_VALID_SECONDS)
         if read.problem is not None:
             self.refused.inc({"problem": read.problem.value})
             decisions.note(
@@ -105,9 +105,9 @@
                 source=source.value,
             )
         elif read.value:
-            self._note(target, min(read.value, LONGEST_SECONDS), source)
+            self._note(target, min(read.value, MAX_PUSHBACK_SECONDS), source)
 
-    def note_taken(self, target: TargetState) -> None:
+    def note_accepted(self, target: TargetState) -> None:
         """Note that `target` accepted a request of this host."""
         target.pushbacks = 0
 
@@ -120,7 +120,7 @@
             # Responses to requests sent before the pushback arrived are not
             # counted as further pushbacks.
             target.pushbacks += 1
-        until = Deadline(now + _grown(seconds, target.pushbacks))
+        until = Deadline(now + _backoff_seconds(seconds, target.pushbacks))
         if until <= target.pushback_until:
             return
         decisions.note(
@@ -134,16 +134,16 @@
             source=source.value,
         )
         target.pushback_until = until
-        self._forget_over(now)
+        self._forget_expired(now)
         self.until[target.process] = until
 
-    def _forget_over(self, now: Deadline) -> None:
-        over = [process for process, at in self.until.items() if at <= now]
-        for process in over:
+    def _forget_expired(self, now: Deadline) -> None:
+        expired = [process for process, at in self.until.items() if at <= now]
+        for process in expired:
             del self.until[process]
 
 
-def _grown(seconds: float, pushbacks: int) -> float:
+def _backoff_seconds(seconds: float, pushbacks: int) -> float:
     """Return the length of a pushback for which a target asked `seconds`."""
-    longest = max(seconds, LONGEST_GROWN_SECONDS)
-    return min(seconds * GROWTH ** min(pushbacks - 1, 10), longest)
+    max_seconds = max(seconds, MAX_BACKOFF_SECONDS)
+    return min(seconds * BACKOFF_FACTOR ** min(pushbacks - 1, 10), max_seconds)
--- a/agatetack/targets/test_answer_check.py
+++ b/agatetack/targets/test_answer_check.py
@@ -112,7 +112,7 @@
     check = AnswerCheck(template_settings(1))
     parser = AnswerParser(b"GET", 65536, ECHO)
     parser.feed(content)
-    assert check.is_sound(parser) is sound
+    assert check.is_valid(parser) is sound
     assert check.is_not_run(parser) is not_run
 
 
@@ -120,7 +120,7 @@
     check = AnswerCheck(default_settings())
     parser = AnswerParser(b"GET", 65536)
     parser.feed(answer(None, status=b"421 Misdirected Request"))
-    assert check.is_sound(parser)
+    assert check.is_valid(parser)
     assert not check.is_not_run(parser)
 
 
--- a/agatetack/targets/test_pushbacks.py
+++ b/agatetack/targets/test_pushbacks.py
@@ -7,7 +7,7 @@
 from agatetack.ids import FailureDomain, TargetId
 from agatetack.messages import Header
 from agatetack.metrics import Metrics
-from agatetack.targets.pushbacks import LONGEST_SECONDS, Pushbacks
+from agatetack.targets.pushbacks import MAX_PUSHBACK_SECONDS, Pushbacks
 from agatetack.targets.rate_limits import SendKind
 from agatetack.targets.state import ReportSource, TargetState
 from agatetack.testing.targets import SERVICE
@@ -34,7 +34,7 @@
         (503, (b"3",), 3.0),
         (503, (b" 0.25 ",), 0.25),
         (429, (b"3",), 3.0),
-        (503, (b"999999",), LONGEST_SECONDS),
+        (503, (b"999999",), MAX_PUSHBACK_SECONDS),
         (503, (b"0",), None),
         (503, (), None),
         # These statuses do not mean that the target is overloaded.
@@ -116,7 +116,7 @@
     seen = []
     for number in range(len(waits)):
         if number == taken_before:
-            pushbacks.note_taken(target)
+            pushbacks.note_accepted(target)
         now = trio.current_time()
         note(pushbacks, target, 503, (b"1",))
         seen.append(target.pushback_until - now)
