--- a/agatetack/targets/departures.py
+++ b/agatetack/targets/departures.py
@@ -7,7 +7,7 @@
 from agatetack.targets.leaving import LeavingRecord, LeavingSign
 from agatetack.targets.state import TargetState
 
-MOST_RECORDS = 20_000
+MAX_RECORDS = 20_000
 """Maximum number of leaving targets on record; the oldest is evicted first."""
 
 decisions = DecisionLog("targets")
@@ -24,15 +24,15 @@
         records: The signs that each target is leaving.
         returns: How often each target has left and returned.
         hold_seconds: How long a sign can't be revoked.
-        ids_by_start: Whether each process incarnation has its own target id.
+        ids_by_incarnation: Whether each process incarnation has its own id.
     """
 
-    def __init__(self, hold_seconds: float, ids_by_start: bool = False):
+    def __init__(self, hold_seconds: float, ids_by_incarnation: bool = False):
         """Start without leaving targets."""
         self.records: dict[TargetId, LeavingRecord] = {}
         self.returns: dict[TargetId, int] = {}
         self.hold_seconds = hold_seconds
-        self.ids_by_start = ids_by_start
+        self.ids_by_incarnation = ids_by_incarnation
 
     def get(self, target_id: TargetId) -> LeavingRecord | None:
         """Return the record of a leaving target, or None if it is not."""
@@ -52,9 +52,9 @@
             now,
             returns=self.returns.get(target.id, 0),
             incarnation=target.incarnation,
-            id_of_one_start=self.ids_by_start,
+            id_per_incarnation=self.ids_by_incarnation,
         )
-        if len(self.records) >= MOST_RECORDS:
+        if len(self.records) >= MAX_RECORDS:
             self.forget(next(iter(self.records)))
         self.records[target.id] = record
         record.hold(now, self.hold_seconds)
@@ -97,7 +97,7 @@
         if record is not None and now >= record.hold_until:
             self.forget(target_id)
 
-    def over(self, now: Deadline) -> Sequence[TargetId]:
+    def expired(self, now: Deadline) -> Sequence[TargetId]:
         """Return the targets whose hold is over."""
         return [
             target_id
@@ -105,7 +105,7 @@
             if now >= record.hold_until
         ]
 
-    def holds(self, target_id: TargetId, now: Deadline) -> bool:
+    def is_held(self, target_id: TargetId, now: Deadline) -> bool:
         """Return whether the hold of a target's signs is still running."""
         record = self.records.get(target_id)
         return record is not None and now < record.hold_until
--- a/agatetack/targets/leaving.py
+++ b/agatetack/targets/leaving.py
@@ -29,7 +29,7 @@
     OTHER_INSTANCE = "other-instance"
 
 
-STRENGTHS = {
+SIGN_STRENGTHS = {
     LeavingSign.PEER: 0,
     LeavingSign.CONNECT_REFUSED: 0,
     LeavingSign.HOST_LIST: 1,
@@ -46,7 +46,9 @@
 """
 
 
-OWN_WORDS = frozenset({LeavingSign.ANSWER_HEADER, LeavingSign.HEALTH})
+SELF_ANNOUNCED_SIGNS = frozenset(
+    {LeavingSign.ANSWER_HEADER, LeavingSign.HEALTH}
+)
 """Signs by which the target itself announced that it is leaving."""
 
 
@@ -64,7 +66,7 @@
         listed_live: Whether the host list showed it as live after the hold.
         returns: How often it has returned from leaving before.
         incarnation: The process incarnation that the signs are about.
-        id_of_one_start: Whether a later incarnation has another id, so that
+        id_per_incarnation: Whether a later incarnation has another id, so that
             an announcement by the target itself is final.
     """
 
@@ -76,17 +78,17 @@
     listed_live: bool = False
     returns: int = 0
     incarnation: int = 0
-    id_of_one_start: bool = False
+    id_per_incarnation: bool = False
 
     @property
     def announced(self) -> bool:
         """Return whether the target or the platform announced it."""
-        return STRENGTHS[self.sign] > 0
+        return SIGN_STRENGTHS[self.sign] > 0
 
     @property
     def final(self) -> bool:
         """Return whether nothing can ever revoke it."""
-        return self.id_of_one_start and self.sign in OWN_WORDS
+        return self.id_per_incarnation and self.sign in SELF_ANNOUNCED_SIGNS
 
     def note_sign(
         self, sign: LeavingSign, now: Deadline, hold_seconds: float
@@ -94,7 +96,7 @@
         """Record another sign and restart the hold."""
         if sign is LeavingSign.CONNECT_REFUSED and self.announced:
             self.restarted = True
-        if STRENGTHS[sign] > STRENGTHS[self.sign]:
+        if SIGN_STRENGTHS[sign] > SIGN_STRENGTHS[self.sign]:
             self.sign = sign
         self.hold(now, hold_seconds)
 
--- a/agatetack/targets/registry.py
+++ b/agatetack/targets/registry.py
@@ -303,12 +303,12 @@
 
     def leaving_targets(self) -> Iterable[TargetState]:
         """Return the leaving targets to probe, as their hold is over."""
-        over = self.departures.over(Deadline(trio.current_time()))
-        for target_id in over:
+        expired = self.departures.expired(Deadline(trio.current_time()))
+        for target_id in expired:
             if target_id not in self.by_id:
                 # It is no longer listed, and its hold is over.
                 self.departures.forget(target_id)
-        targets = [self.by_id[each] for each in over if each in self.by_id]
+        targets = [self.by_id[each] for each in expired if each in self.by_id]
         return [each for each in targets if self.may_be_probed(each)]
 
     def may_be_probed(self, target: TargetState) -> bool:
@@ -316,7 +316,7 @@
         if target.failure_domain in self.evacuated:
             return False
         now = Deadline(trio.current_time())
-        return not self.departures.holds(target.id, now)
+        return not self.departures.is_held(target.id, now)
 
     def _leave(self, target: TargetState, why: LeavingSign) -> None:
         if self.by_id.get(target.id, target) is not target:
--- a/agatetack/targets/test_registry.py
+++ b/agatetack/targets/test_registry.py
@@ -272,7 +272,7 @@
 async def test_the_first_that_left_are_forgotten_first(
     autojump_clock, monkeypatch
 ):
-    monkeypatch.setattr("agatetack.targets.departures.MOST_RECORDS", 2)
+    monkeypatch.setattr("agatetack.targets.departures.MAX_RECORDS", 2)
     registry = TargetRegistry(template_settings(1), Metrics())
     registry.update([listed_target(number) for number in (1, 2, 3)])
     for target in list(registry.by_id.values()):
