--- a/agatetack/balance/rate_share.py
+++ b/agatetack/balance/rate_share.py
@@ -191,7 +191,9 @@
         not be chosen any more.
         """
         limit = target.rate_limit
-        return limit.rate is not None and now >= limit.said_at + QUIET_SECONDS
+        return (
+            limit.rate is not None and now >= limit.reported_at + QUIET_SECONDS
+        )
 
     def taken(self, target: TargetState) -> None:
         """Note that a request was given to `target`."""
@@ -330,4 +332,4 @@
     others.
     """
     wait = SILENT_SECONDS + (quota.place + 1) * quota.window
-    return Deadline(limit.said_at + wait)
+    return Deadline(limit.reported_at + wait)
--- a/agatetack/balance/test_cold_share.py
+++ b/agatetack/balance/test_cold_share.py
@@ -167,7 +167,7 @@
     begin = trio.current_time()
     known_at = begin + 0.19
     while trio.current_time() < begin + WARM_UP_SECONDS:
-        if trio.current_time() >= known_at and not target.warmth.said:
+        if trio.current_time() >= known_at and not target.warmth.is_reported:
             chill(registry)
         share = rng.choice(shares)
         if share.allows(target):
--- a/agatetack/measure/samples.py
+++ b/agatetack/measure/samples.py
@@ -237,7 +237,7 @@
         slowness_pct = round(report.slowness * USUAL_PERCENT)
         if slowness_pct != USUAL_PERCENT:
             sample.slowness_pct = slowness_pct
-        if target.warm_up_rate and target.warmth.said:
+        if target.warm_up_rate and target.warmth.is_reported:
             self._add_warmth(sample, target, now)
         if target.rate_limit.known:
             self._add_rate(sample, target.rate_limit, now)
@@ -252,9 +252,9 @@
         self, sample: LoadSample, target: TargetState, now: Deadline
     ) -> None:
         warmth = target.warmth
-        left = max(0.0, warmth.warm_at - warmth.said_at)
+        left = max(0.0, warmth.warm_at - warmth.reported_at)
         sample.warm_up_ms = round(left * 1000)
-        said_ms = round((now - warmth.said_at) * 1000)
+        said_ms = round((now - warmth.reported_at) * 1000)
         if said_ms > 0:
             sample.said_ms = said_ms
 
@@ -262,7 +262,7 @@
         self, sample: LoadSample, limit: RateLimit, now: Deadline
     ) -> None:
         sample.rate = limit.rate or NO_RATE
-        said_ms = round((now - limit.said_at) * 1000)
+        said_ms = round((now - limit.reported_at) * 1000)
         if said_ms > 0:
             sample.rate_said_ms = said_ms
 
--- a/agatetack/measure/test_rounds.py
+++ b/agatetack/measure/test_rounds.py
@@ -268,7 +268,7 @@
     rounds = make_rounds("h1", ["h1"], prober, 1)
     target = next(iter(rounds.registry.by_id.values()))
     if cold:
-        target.warmth.doubt(Deadline(trio.current_time()))
+        target.warmth.invalidate(Deadline(trio.current_time()))
 
     async def report_load():
         while heard_every is not None:
--- a/agatetack/targets/rate_limit.py
+++ b/agatetack/targets/rate_limit.py
@@ -33,12 +33,12 @@
 
     Attributes:
         rate: Requests per second; None while it reports no limit.
-        said_at: When the target last reported, to this host or another.
+        reported_at: When the target last reported, to this host or another.
         since: When it last reported a limit after having reported none.
     """
 
     rate: float | None = None
-    said_at: Deadline = Deadline(-math.inf)
+    reported_at: Deadline = Deadline(-math.inf)
     since: Deadline = Deadline(-math.inf)
 
     @property
@@ -46,17 +46,17 @@
         """Return whether it ever reported a limit, in force or not."""
         return self.since != -math.inf
 
-    def note(self, rate: float | None, said_at: Deadline) -> bool:
-        """Record what it reported at `said_at`; return whether that changed.
+    def note(self, rate: float | None, reported_at: Deadline) -> bool:
+        """Record a rate, or None; return whether it changed.
 
         A report older than the last one is ignored.
         """
-        if said_at < self.said_at:
+        if reported_at < self.reported_at:
             return False
-        self.said_at = said_at
+        self.reported_at = reported_at
         if rate == self.rate:
             return False
         if self.rate is None:
-            self.since = said_at
+            self.since = reported_at
         self.rate = rate
         return True
--- a/agatetack/targets/rate_limits.py
+++ b/agatetack/targets/rate_limits.py
@@ -92,7 +92,7 @@
         values = self._values(headers)
         if values:
             self._take(target, values, ReportSource.ANSWER)
-        elif self.name is not None and sent_at > target.rate_limit.said_at:
+        elif self.name is not None and sent_at > target.rate_limit.reported_at:
             self._note(target, None, sent_at, ReportSource.ANSWER)
 
     def note_load_answer(
@@ -111,19 +111,19 @@
             self._take(target, values, source)
 
     def note_peer_rate(
-        self, target: TargetState, rate: float, said_at: Deadline
+        self, target: TargetState, rate: float, reported_at: Deadline
     ) -> None:
         """Record the rate of `target` as reported by a peer.
 
         Args:
             target: The target.
             rate: Requests per second; 0 if it no longer reports a limit.
-            said_at: When the target reported it to the first host.
+            reported_at: When the target reported it to the first host.
         """
         if not 0 <= rate <= MAX_RATE:
             self._refuse(target, DecimalProblem.OUT_OF_RANGE, ReportSource.PEER)
             return
-        self._note(target, rate or None, said_at, ReportSource.PEER)
+        self._note(target, rate or None, reported_at, ReportSource.PEER)
 
     def _values(self, headers: Headers) -> Sequence[bytes]:
         if self.name is None:
@@ -163,14 +163,14 @@
         self,
         target: TargetState,
         rate: float | None,
-        said_at: Deadline,
+        reported_at: Deadline,
         source: ReportSource,
     ) -> None:
         limit = target.rate_limit
         before, since = limit.rate, limit.since
         if rate is not None:
             self.reports.inc({"source": source.value})
-        if not limit.note(rate, said_at):
+        if not limit.note(rate, reported_at):
             return
         self.changes.inc({"source": source.value})
         self._show(target)
@@ -181,6 +181,6 @@
             rate=rate,
             before=before,
             source=source.value,
-            age=age(said_at),
+            age=age(reported_at),
             lasted_ms=None if before is None else age(since),
         )
--- a/agatetack/targets/registry.py
+++ b/agatetack/targets/registry.py
@@ -222,12 +222,12 @@
         self.pushbacks.note_sent(target, kind)
 
     def note_warmth(
-        self, target: TargetState, warm_at: Deadline, said_at: Deadline
+        self, target: TargetState, warm_at: Deadline, reported_at: Deadline
     ) -> None:
-        """Record when `target` is warm, as it reported at `said_at`."""
+        """Record when `target` is warm, as it reported at `reported_at`."""
         now = Deadline(trio.current_time())
         before = target.warmth.is_cold(now)
-        target.warmth.note(warm_at, said_at)
+        target.warmth.note(warm_at, reported_at)
         cold = target.warmth.is_cold(now)
         if cold != before and target.warm_up_rate:
             self.counters.warmth.inc({"state": "cold" if cold else "warm"})
@@ -236,7 +236,7 @@
                 target=target.id,
                 service=target.service,
                 left_ms=round(max(0.0, warm_at - now) * 1000),
-                age=age(said_at),
+                age=age(reported_at),
             )
 
     def set_warm_up_rates(self, rates: Mapping[ServiceId, float]) -> None:
@@ -406,7 +406,7 @@
         record = self.departures.end(target.id)
         target.status = TargetStatus.COLD
         target.status_since = now
-        target.warmth.doubt(now)
+        target.warmth.invalidate(now)
         target.failures = 0
         self.counters.returned.inc({"sign": record.sign.value})
         log.info("Target %s may get new work again.", target.id)
@@ -437,7 +437,7 @@
         now = Deadline(trio.current_time())
         for target in self.by_id.values():
             if target.failure_domain in over:
-                target.warmth.doubt(now)
+                target.warmth.invalidate(now)
         self.evacuated = domains
         self._rebuild(
             target.service
--- a/agatetack/targets/test_warmth.py
+++ b/agatetack/targets/test_warmth.py
@@ -28,7 +28,7 @@
         ),
         # A report older than the last one is ignored.
         ([("note", 13.0, 10.0), ("note", 9.0, 9.0)], 13.0, 10.0),
-        # A doubt holds until the target reports after it.
+        # After an invalidation the target is cold until it reports again.
         ([("doubt", 10.0)], math.inf, 10.0),
         ([("doubt", 10.0), ("note", 9.5, 9.5)], math.inf, 10.0),
         ([("doubt", 10.0), ("listed", 12.0, 11.0)], math.inf, 10.0),
@@ -45,7 +45,7 @@
         take = {
             "listed": warmth.note_listed,
             "note": warmth.note,
-            "doubt": warmth.doubt,
+            "doubt": warmth.invalidate,
         }[kind]
         take(*values)
     assert warmth.warm_at == warm_at
