--- a/agatetack/gateway_core.py
+++ b/agatetack/gateway_core.py
@@ -272,7 +272,7 @@
             self.start_share.begin()
             nursery.start_soon(self.start_share.run)
         nursery.start_soon(self.crashes.run)
-        nursery.start_soon(self.client.pools.close_old)
+        nursery.start_soon(self.client.pools.close_expired)
         nursery.start_soon(self.attempts.hedger.run)
         nursery.start_soon(self.attempts.forget_routes, self.routes)
         if self.callers_tls is not None:
--- a/agatetack/store_gateway.py
+++ b/agatetack/store_gateway.py
@@ -41,7 +41,7 @@
 from agatetack.quarantine.liveness import LivenessCheck, ReportLivenessCheck
 from agatetack.serving.runners import FastRunner, OnceClassRunner, WholeRunner
 from agatetack.settings.model import Settings
-from agatetack.targets.pool import ConnectionShare, OwnConnections
+from agatetack.targets.pool import ConnectionLimit, SettingsConnectionLimit
 from agatetack.targets.state import TargetState
 
 FIRST_READ_SECONDS = 0.25
@@ -67,17 +67,17 @@
 """Connections to a target that a host keeps beside those for requests."""
 
 
-class DocumentConnections(ConnectionShare):
+class DocumentConnections(ConnectionLimit):
     """This host's part of what the document says that targets accept."""
 
     def __init__(self, gateway: "StoreGateway"):
         """Look at the document and at the hosts that `gateway` knows."""
         self.gateway = gateway
-        self.own = OwnConnections(gateway.settings)
+        self.own = SettingsConnectionLimit(gateway.settings)
 
-    def most(self, target: TargetState) -> int:
+    def limit_for(self, target: TargetState) -> int:
         """Return this host's part; the number of the settings at most."""
-        own = self.own.most(target)
+        own = self.own.limit_for(target)
         info = self.gateway.documents.services.get(target.service)
         if info is None or not info.max_connections:
             return own
@@ -166,7 +166,7 @@
             metrics,
             self.generations,
         )
-        self.client.pools.share = DocumentConnections(self)
+        self.client.pools.connection_limit = DocumentConnections(self)
         self._build_classes()
         self.documents.watchers.append(self._limit_callers)
         self.documents.watchers.append(self._bound_cold_targets)
--- a/agatetack/targets/pool.py
+++ b/agatetack/targets/pool.py
@@ -19,22 +19,22 @@
 keep-alive timeout: a request sent as the target closes it would be lost."""
 
 
-class ConnectionShare(abc.ABC):
+class ConnectionLimit(abc.ABC):
     """Limits how many connections this host may open to a target."""
 
     @abc.abstractmethod
-    def most(self, target: TargetState) -> int:
+    def limit_for(self, target: TargetState) -> int:
         """Return how many connections to `target` this host may have open."""
 
 
-class OwnConnections(ConnectionShare):
+class SettingsConnectionLimit(ConnectionLimit):
     """Applies the limit in the settings, regardless of other hosts."""
 
     def __init__(self, settings: Settings):
         """Read the limit from `settings`."""
         self.limit = settings.targets.max_connections
 
-    def most(self, target: TargetState) -> int:
+    def limit_for(self, target: TargetState) -> int:
         """Return the limit in the settings."""
         return self.limit
 
@@ -43,21 +43,21 @@
     """Pool of connections to one target.
 
     Attributes:
-        share: Limits how many connections may be open.
+        connection_limit: Limits how many connections may be open.
         idle: Connections without a request, most recently used last.
         open_count: Connections open now, idle or not.
-        suspect_before: Connections that received no byte since this time are
+        min_last_byte_at: Connections that received no byte since this time are
             not reused, because another connection to the target was found to
             be silent.
     """
 
-    def __init__(self, settings: Settings, share: ConnectionShare):
-        """Limit the age and number of connections by `settings` and `share`."""
+    def __init__(self, settings: Settings, connection_limit: ConnectionLimit):
+        """Limit the age and number of connections by the arguments."""
         self.settings = settings
-        self.share = share
+        self.connection_limit = connection_limit
         self.idle: list[TargetConnection] = []
         self.open_count = 0
-        self.suspect_before = Deadline(0.0)
+        self.min_last_byte_at = Deadline(0.0)
 
     def take(self, freshness: Freshness) -> TargetConnection | None:
         """Remove and return a reusable idle connection, or return None."""
@@ -70,7 +70,7 @@
             most = self._max_age(freshness)
             if connection.idle_seconds is not None:
                 most = min(most, connection.idle_seconds - CLOSE_RACE_SECONDS)
-            oldest = max(now - most, self.suspect_before)
+            oldest = max(now - most, self.min_last_byte_at)
             if connection.last_byte_at >= oldest and connection.is_quiet():
                 return connection
             self.discard(connection)
@@ -83,7 +83,7 @@
 
     def put_back(self, connection: TargetConnection) -> None:
         """Keep a connection for reuse once its response was read to the end."""
-        if connection.last_byte_at < self.suspect_before:
+        if connection.last_byte_at < self.min_last_byte_at:
             self.discard(connection)
             return
         self.idle.append(connection)
@@ -102,9 +102,9 @@
             connection: The connection that received no byte.
             since: The start of the time without a byte.
         """
-        self.suspect_before = max(self.suspect_before, since)
+        self.min_last_byte_at = max(self.min_last_byte_at, since)
         self.discard(connection)
-        self.close_idle_before(self.suspect_before)
+        self.close_idle_before(self.min_last_byte_at)
 
     def close_idle_before(self, oldest: Deadline) -> None:
         """Close idle connections that received no byte since `oldest`."""
@@ -126,7 +126,7 @@
             ConnectFailed: It could not be opened, or too many are open.
         """
         limits = self.settings.targets
-        if self.open_count >= self.share.most(target):
+        if self.open_count >= self.connection_limit.limit_for(target):
             raise ConnectFailed("too many connections are open")
         self.open_count += 1
         latest = trio.current_time() + limits.connect_timeout_seconds
@@ -143,24 +143,26 @@
     """The connection pools of this host, one for each target process.
 
     Attributes:
-        share: Limits how many connections each pool may have open.
+        connection_limit: Limits how many connections each pool may have open.
     """
 
     def __init__(self, settings: Settings):
         """Start without connections."""
         self.settings = settings
-        self.share: ConnectionShare = OwnConnections(settings)
+        self.connection_limit: ConnectionLimit = SettingsConnectionLimit(
+            settings
+        )
         self.pools: dict[ProcessId, TargetPool] = {}
 
     def pool(self, process: ProcessId) -> TargetPool:
         """Return the pool of `process`, creating it if there is none."""
         pool = self.pools.get(process)
         if pool is None:
-            pool = TargetPool(self.settings, self.share)
+            pool = TargetPool(self.settings, self.connection_limit)
             self.pools[process] = pool
         return pool
 
-    async def close_old(self) -> None:
+    async def close_expired(self) -> None:
         """Close connections that were idle too long; runs until cancelled."""
         seconds = self.settings.targets.idle_close_seconds
         while True:
--- a/agatetack/testing/limited_fleet.py
+++ b/agatetack/testing/limited_fleet.py
@@ -280,7 +280,7 @@
     for task in (
         host.rounds.run,
         host.occupancy.run,
-        host.client.pools.close_old,
+        host.client.pools.close_expired,
         host.attempts.hedger.run,
     ):
         fleet.nursery.start_soon(task)
