--- a/agatetack/admission/lane.py
+++ b/agatetack/admission/lane.py
@@ -319,7 +319,7 @@
             return None
         target = self.policy.choose(free, now)
         for changed in self.policy.take_changed():
-            self.registry.note_changed(changed)
+            self.registry.note_slowness(changed)
         if target is None:
             return None
         if target.status is TargetStatus.COLD:
@@ -350,7 +350,7 @@
             free = [
                 target
                 for target in free
-                if target.room_at <= latest
+                if target.free_slot_at <= latest
                 and self.policy.has_room(target, now)
             ]
         if not wanted.wait:
--- a/agatetack/admission/service.py
+++ b/agatetack/admission/service.py
@@ -237,9 +237,9 @@
         now = Deadline(trio.current_time())
         target = permit.target
         target.in_flight -= 1
-        if target.room_at:
+        if target.free_slot_at:
             # Hosts take turns there, and this one's has come.
-            target.room_at = now
+            target.free_slot_at = now
         target.learned.sent.pop(permit.number, None)
         if result is AttemptResult.SHED:
             self.limits.shed(target)
--- a/agatetack/admission/test_order.py
+++ b/agatetack/admission/test_order.py
@@ -125,7 +125,7 @@
     route = make_route(target_latency_seconds=0.4)
     bed.admission._lane(route.service).note_latency(0.2)
     # Hosts take turns at the target.
-    bed.targets[0].room_at = Deadline(0.001)
+    bed.targets[0].free_slot_at = Deadline(0.001)
     await trio.sleep(1.0)
     async with trio.open_nursery() as nursery:
         await fill(bed, nursery, ["first", "second"], route=route)
--- a/agatetack/balance/fleet_view.py
+++ b/agatetack/balance/fleet_view.py
@@ -146,7 +146,7 @@
 
     def has_room(self, target: TargetState, now: Deadline) -> bool:
         """Return whether a request would not wait at `target`."""
-        if now < target.room_at:
+        if now < target.free_slot_at:
             return False
         most = self.room.most(target, now) + MOST_WAITING
         return self.expected_load(target, now) < most
--- a/agatetack/balance/test_fleet_view.py
+++ b/agatetack/balance/test_fleet_view.py
@@ -157,7 +157,7 @@
 async def test_a_slot_is_taken_in_turn(autojump_clock, after, waits):
     targets = make_targets()
     for target in targets:
-        target.room_at = Deadline(NOW + after)
+        target.free_slot_at = Deadline(NOW + after)
     assert (choose(targets) == {None}) is waits
 
 
--- a/agatetack/measure/occupancy.py
+++ b/agatetack/measure/occupancy.py
@@ -179,10 +179,10 @@
             rank(peer.id, target.id) > own
             for peer in self.exchange.near_peers()
         )
-        target.room_at = Deadline(
+        target.free_slot_at = Deadline(
             trio.current_time() + earlier * self.turn_seconds
         )
-        self.turns[target.id] = target.room_at
+        self.turns[target.id] = target.free_slot_at
         self.turn_added.set()
 
     async def _run_offers(self) -> None:
--- a/agatetack/measure/samples.py
+++ b/agatetack/measure/samples.py
@@ -112,7 +112,7 @@
         self.fresh_added = trio.Event()
         self.hashes = TargetHashes(registry)
         registry.report_watchers.append(self._on_report)
-        registry.changed_watchers.append(self._send_changed)
+        registry.slowness_watchers.append(self._send_changed)
         registry.leaving_watchers.append(self._send_sign)
         exchange.subscribe(Topic.LOAD_SAMPLES, self._on_samples)
         exchange.subscribe(Topic.TARGET_SIGNS, self._on_sign)
--- a/agatetack/measure/test_occupancy.py
+++ b/agatetack/measure/test_occupancy.py
@@ -147,7 +147,7 @@
 async def test_a_slot_that_comes_free_is_taken_in_turn(autojump_clock, left):
     async with trio.open_nursery() as nursery:
         others = await lower(nursery, 2, left)
-        turns = sorted(host.target().room_at for host in others)
+        turns = sorted(host.target().free_slot_at for host in others)
         gaps = {
             round(later - earlier, 6)
             for earlier, later in itertools.pairwise(turns)
@@ -156,7 +156,9 @@
         step = others[0].occupancy.turn_seconds
         assert gaps <= {step, 2 * step}
         for host in others:
-            assert host.notice_times[-1] == pytest.approx(host.target().room_at)
+            assert host.notice_times[-1] == pytest.approx(
+                host.target().free_slot_at
+            )
         nursery.cancel_scope.cancel()
 
 
@@ -165,7 +167,7 @@
 ):
     async with trio.open_nursery() as nursery:
         others = await lower(nursery, 1, 0)
-        assert all(host.target().room_at == 0 for host in others)
+        assert all(host.target().free_slot_at == 0 for host in others)
         nursery.cancel_scope.cancel()
 
 
--- a/agatetack/measure/test_prober.py
+++ b/agatetack/measure/test_prober.py
@@ -242,7 +242,7 @@
     sender.prober.sharing.bucket.tokens = 4000
     sender.report(sender.targets[0], 7)
     sender.targets[0].learned.service_seconds = 0.01 * ratio
-    sender.registry.note_changed(sender.targets[0])
+    sender.registry.note_slowness(sender.targets[0])
     received = taker.targets[0].learned.peer_service_seconds
     assert received == pytest.approx(0.01 * ratio)
 
@@ -253,7 +253,7 @@
     sender.report(sender.targets[0], 7)
     sender.targets[0].learned.service_seconds = 0.1
     sender.targets[0].learned.adopted = True
-    sender.registry.note_changed(sender.targets[0])
+    sender.registry.note_slowness(sender.targets[0])
     assert taker.targets[0].learned.peer_service_seconds == 0
 
 
--- a/agatetack/targets/registry.py
+++ b/agatetack/targets/registry.py
@@ -67,7 +67,7 @@
             targets has changed.
         choice_watchers: Called with the service after each choice, so that
             probes go where choices are made.
-        changed_watchers: Called with a target that this host found to be slow
+        slowness_watchers: Called with a target that this host found to be slow
             or no longer slow.
         in_flight_watchers: Called with a target when the number of this host's
             requests there changed.
@@ -100,7 +100,7 @@
             Callable[[Sequence[TargetState]], None]
         ] = []
         self.choice_watchers: list[Callable[[ServiceId], None]] = []
-        self.changed_watchers: list[Callable[[TargetState], None]] = []
+        self.slowness_watchers: list[Callable[[TargetState], None]] = []
         self.in_flight_watchers: list[Callable[[TargetState], None]] = []
         self.leaving_watchers: list[
             Callable[[TargetState, LeavingSign], None]
@@ -263,11 +263,11 @@
         self.counters.signs.inc({"sign": LeavingSign.PEER.value})
         self._leave(target, why)
 
-    def note_changed(self, target: TargetState) -> None:
+    def note_slowness(self, target: TargetState) -> None:
         """Note that this host found `target` to be slow or no longer slow."""
         if target.learned.slow:
             self.counters.slow.inc({"service": target.service})
-        for watcher in self.changed_watchers:
+        for watcher in self.slowness_watchers:
             watcher(target)
 
     def note_in_flight(self, target: TargetState) -> None:
--- a/agatetack/targets/state.py
+++ b/agatetack/targets/state.py
@@ -79,8 +79,8 @@
         peer_in_flight: Requests that the other hosts report to have there.
         all_peers_report: Whether all hosts that send there report their
             requests to this host.
-        room_at: When it is this host's turn to use a slot that another host
-            released there.
+        free_slot_at: When it is this host's turn to use a slot that another
+            host released there.
         slots: Requests that it can run concurrently.
         limit: Maximum number of concurrent requests of this host there.
         report: Its latest load report, or None.
@@ -112,7 +112,7 @@
     in_flight: int = 0
     peer_in_flight: int = 0
     all_peers_report: bool = True
-    room_at: Deadline = Deadline(0.0)
+    free_slot_at: Deadline = Deadline(0.0)
     slots: int = 2
     limit: int = 8
     report: LoadReport | None = None
