--- a/agatetack/measure/http_probe.py
+++ b/agatetack/measure/http_probe.py
@@ -17,7 +17,7 @@
     STATES,
     HeaderLoadReader,
     LoadReader,
-    ReadLoad,
+    ParsedLoad,
     ReportedState,
 )
 from agatetack.targets.pushbacks import Pushbacks
@@ -205,12 +205,12 @@
     )
 
 
-def _read_body(body: bytes, slots: int | None) -> ReadLoad:
+def _read_body(body: bytes, slots: int | None) -> ParsedLoad:
     """Return the report in a JSON body; `slots` is a header's value."""
     try:
         fields = orjson.loads(body) if body[:1] == b"{" else {}
         own_slots = fields.get("slots")
-        return ReadLoad(
+        return ParsedLoad(
             in_flight=max(0, int(fields.get("in_flight"))),
             slots=slots if own_slots is None else int(own_slots),
             state=STATES.get(str(fields.get("state")).encode()),
--- a/agatetack/measure/prober.py
+++ b/agatetack/measure/prober.py
@@ -13,7 +13,7 @@
 from agatetack.metrics import Metrics
 from agatetack.peers.exchange import Exchange
 from agatetack.settings.model import PolicyName, Settings
-from agatetack.targets.load import ReadLoad
+from agatetack.targets.load import ParsedLoad
 from agatetack.targets.rate_limits import SendKind
 from agatetack.targets.registry import LeavingSign, TargetRegistry
 from agatetack.targets.state import ReportSource, TargetState
@@ -220,7 +220,7 @@
         self.probe_bytes.give_back(max(0, PROBE_BYTES - answer.used_bytes))
         used = min(answer.used_bytes, PROBE_BYTES)
         self.metrics.budget_spent.add({"unit": "bytes"}, used)
-        load = ReadLoad(
+        load = ParsedLoad(
             answer.in_flight,
             answer.slots,
             answer.slowness,
--- a/agatetack/platform/load_header.py
+++ b/agatetack/platform/load_header.py
@@ -6,7 +6,7 @@
 from agatetack.targets.load import (
     USUAL_SLOWNESS,
     LoadReader,
-    ReadLoad,
+    ParsedLoad,
     ReportedState,
 )
 
@@ -30,7 +30,7 @@
         self.leaving_name = (names.leaving or "").encode()
         self.names = frozenset((self.name,))
 
-    def read(self, headers: Mapping[bytes, bytes]) -> ReadLoad:
+    def read(self, headers: Mapping[bytes, bytes]) -> ParsedLoad:
         """Return the report that `headers` hold."""
         state = self._state(headers)
         try:
@@ -38,14 +38,14 @@
                 float(text) for text in headers.get(self.name, b"").split(b",")
             ]
         except ValueError:
-            return ReadLoad(None, state=state)
+            return ParsedLoad(None, state=state)
         if len(figures) < 3 or any(not 0 <= f < 1e6 for f in figures):
-            return ReadLoad(None, state=state)
+            return ParsedLoad(None, state=state)
         running, waiting, slots = (int(figure) for figure in figures[:3])
         slowness = USUAL_SLOWNESS
         if len(figures) > 3:
             slowness = max(figures[3], 1.0) / USUAL_PERCENT
-        return ReadLoad(
+        return ParsedLoad(
             running + waiting,
             max(1, slots),
             slowness,
--- a/agatetack/targets/load.py
+++ b/agatetack/targets/load.py
@@ -24,7 +24,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class ReadLoad:
+class ParsedLoad:
     """A load report as read from a response.
 
     Attributes:
@@ -53,7 +53,7 @@
     names: frozenset[bytes] = frozenset()
 
     @abc.abstractmethod
-    def read(self, headers: Mapping[bytes, bytes]) -> ReadLoad:
+    def read(self, headers: Mapping[bytes, bytes]) -> ParsedLoad:
         """Return the report in `headers`, whose names are in lower case."""
 
 
@@ -68,9 +68,9 @@
         self.state = names.state.encode()
         self.names = frozenset((self.in_flight, self.slots, self.state))
 
-    def read(self, headers: Mapping[bytes, bytes]) -> ReadLoad:
+    def read(self, headers: Mapping[bytes, bytes]) -> ParsedLoad:
         """Return the report in `headers`."""
-        return ReadLoad(
+        return ParsedLoad(
             in_flight=read_count(headers.get(self.in_flight)),
             slots=read_count(headers.get(self.slots)),
             state=STATES.get(headers.get(self.state, b"")),
--- a/agatetack/targets/presend_probe.py
+++ b/agatetack/targets/presend_probe.py
@@ -17,7 +17,7 @@
     ConnectRefused,
     TargetConnection,
 )
-from agatetack.targets.load import LoadReader, ReadLoad, ReportedState
+from agatetack.targets.load import LoadReader, ParsedLoad, ReportedState
 from agatetack.targets.parser import AnswerParser, AnswerState
 from agatetack.targets.pool import TargetPool, TargetPools
 from agatetack.targets.rate_limits import SendKind
@@ -168,7 +168,7 @@
 
     async def _probe_on(
         self, connection: TargetConnection, pool: TargetPool, deadline: Deadline
-    ) -> ReadLoad | None:
+    ) -> ParsedLoad | None:
         """Probe on `connection`, and close it unless the load is received.
 
         A late response on it could be taken for that of the request. On a
@@ -189,7 +189,7 @@
 
     async def _exchange(
         self, connection: TargetConnection, target: TargetState
-    ) -> ReadLoad | None:
+    ) -> ParsedLoad | None:
         connection.requests += 1
         self.registry.note_sent(target, SendKind.LOOK)
         path = (self.load_paths or {}).get(
@@ -222,7 +222,7 @@
         return load if connection.is_quiet() else None
 
     def _note_availability(
-        self, parser: AnswerParser, target: TargetState, load: ReadLoad
+        self, parser: AnswerParser, target: TargetState, load: ParsedLoad
     ) -> None:
         """Record whether the response says that `target` accepts requests."""
         self.registry.pushbacks.note_answer(
--- a/agatetack/targets/registry.py
+++ b/agatetack/targets/registry.py
@@ -25,7 +25,7 @@
 from agatetack.targets.counters import TargetCounters
 from agatetack.targets.departures import Departures
 from agatetack.targets.leaving import LeavingRecord, LeavingSign
-from agatetack.targets.load import ReadLoad, ReportedState
+from agatetack.targets.load import ParsedLoad, ReportedState
 from agatetack.targets.pushbacks import Pushbacks
 from agatetack.targets.rate_limits import RateLimits, SendKind
 from agatetack.targets.state import (
@@ -191,7 +191,7 @@
         self.notify(target.service)
 
     def note_load(
-        self, target: TargetState, load: ReadLoad, source: ReportSource
+        self, target: TargetState, load: ParsedLoad, source: ReportSource
     ) -> LoadReport:
         """Record the load that `target` itself has just reported."""
         report = LoadReport(
@@ -207,7 +207,7 @@
         return report
 
     def note_load_response(
-        self, target: TargetState, load: ReadLoad, source: ReportSource
+        self, target: TargetState, load: ParsedLoad, source: ReportSource
     ) -> LoadReport:
         """Record what the load path of `target` has just reported."""
         if load.warm_up_seconds is not None:
