--- a/agatetack/targets/answer_check.py
+++ b/agatetack/targets/answer_check.py
@@ -61,7 +61,7 @@
         A success must carry the target's signature header. A response without
         a request id is accepted only if it reports that nothing was run.
         """
-        if parser.unnamed and not self.is_not_run(parser):
+        if parser.lacks_echo and not self.is_not_run(parser):
             return False
         if self.signature_name is None:
             return True
--- a/agatetack/targets/body.py
+++ b/agatetack/targets/body.py
@@ -7,7 +7,7 @@
 from agatetack.targets.parser import AnswerParser, AnswerState
 from agatetack.targets.pool import TargetPool
 
-DROP_SECONDS = 0.02
+MAX_DROP_SECONDS = 0.02
 """Maximum wait for the rest of a body that is not needed; a short body arrives
 together with its header."""
 
@@ -106,7 +106,7 @@
 
     async def drop(self) -> None:
         """Discard a short body, so that the connection can be reused."""
-        with trio.move_on_after(DROP_SECONDS):
+        with trio.move_on_after(MAX_DROP_SECONDS):
             while self.parser.state is AnswerState.BODY and not self.settled:
                 self.parser.parts.clear()
                 await self.connection.receive_into(self.parser)
--- a/agatetack/targets/connection.py
+++ b/agatetack/targets/connection.py
@@ -66,7 +66,7 @@
             data = await self.stream.receive_some(RECEIVE_BYTES)
         except trio.BrokenResourceError:
             # A reset is not a valid end of a response without a length.
-            parser.lose()
+            parser.abort()
             return
         if data:
             self.last_byte_at = Deadline(trio.current_time())
--- a/agatetack/targets/drains.py
+++ b/agatetack/targets/drains.py
@@ -18,17 +18,17 @@
 from agatetack.targets.registry import TargetRegistry
 from agatetack.thrift_codec import MalformedMessage, decode, encode
 
-REPEAT_SECONDS = 5.0
+PUBLISH_INTERVAL_SECONDS = 5.0
 """Interval at which all marks are published again."""
 
-FORGET_MS = 24 * 3600 * 1000
+MARK_RETENTION_MS = 24 * 3600 * 1000
 """Age at which the mark of a target that is no longer drained is dropped."""
 
 log = PartLog("targets")
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Mark:
+class DrainMark:
     """Whether an operator drained a target, and when that was set."""
 
     drained: bool
@@ -40,7 +40,7 @@
 
     Attributes:
         marks: The latest mark of each target that was drained, or undrained
-            in the last `FORGET_MS`.
+            in the last `MARK_RETENTION_MS`.
     """
 
     def __init__(
@@ -55,8 +55,8 @@
         self.exchange = exchange
         self.metrics = metrics
         self.clock = clock
-        self.marks: dict[TargetId, Mark] = {}
-        exchange.subscribe(Topic.TARGET_DRAINS, self._take)
+        self.marks: dict[TargetId, DrainMark] = {}
+        exchange.subscribe(Topic.TARGET_DRAINS, self._receive)
 
     def set(self, target: TargetId, drained: bool) -> None:
         """Drain a target on every host, or allow it new work again."""
@@ -64,21 +64,21 @@
         earlier = self.marks.get(target)
         if earlier is not None:
             now_ms = max(now_ms, earlier.set_unix_ms + 1)
-        self._apply(target, Mark(drained, now_ms))
+        self._apply(target, DrainMark(drained, now_ms))
         self._publish()
 
     async def run(self) -> None:
         """Publish all marks periodically; runs until cancelled."""
         while True:
-            await trio.sleep(REPEAT_SECONDS)
-            self._forget()
+            await trio.sleep(PUBLISH_INTERVAL_SECONDS)
+            self._drop_expired()
             if self.marks:
                 self._publish()
 
-    def _forget(self) -> None:
-        horizon = int(self.clock.wall() * 1000) - FORGET_MS
+    def _drop_expired(self) -> None:
+        oldest_ms = int(self.clock.wall() * 1000) - MARK_RETENTION_MS
         for target, mark in list(self.marks.items()):
-            if not mark.drained and mark.set_unix_ms < horizon:
+            if not mark.drained and mark.set_unix_ms < oldest_ms:
                 del self.marks[target]
 
     def _publish(self) -> None:
@@ -89,7 +89,7 @@
         payload = encode(ttypes.TargetDrains(drains))
         self.exchange.publish(Topic.TARGET_DRAINS, payload)
 
-    def _take(self, sender: HostId, payload: bytes) -> None:
+    def _receive(self, sender: HostId, payload: bytes) -> None:
         try:
             message = decode(ttypes.TargetDrains, payload)
         except MalformedMessage:
@@ -99,15 +99,15 @@
             log.warning("The drain marks from %s are malformed.", sender)
             return
         for drain in message.drains:
-            mark = Mark(drain.drained, drain.set_unix_ms)
+            mark = DrainMark(drain.drained, drain.set_unix_ms)
             self._apply(TargetId(drain.target), mark)
 
-    def _apply(self, target: TargetId, mark: Mark) -> None:
+    def _apply(self, target: TargetId, mark: DrainMark) -> None:
         earlier = self.marks.get(target)
         if earlier is not None and earlier.set_unix_ms >= mark.set_unix_ms:
             return
         self.marks[target] = mark
         if earlier is None or earlier.drained != mark.drained:
             self.registry.set_drained(target, mark.drained)
-            word = "drained" if mark.drained else "undrained"
-            log.info("An operator %s target %s.", word, target)
+            action = "drained" if mark.drained else "undrained"
+            log.info("An operator %s target %s.", action, target)
--- a/agatetack/targets/parser.py
+++ b/agatetack/targets/parser.py
@@ -8,10 +8,10 @@
 from agatetack.headers import read_count
 from agatetack.messages import Header, find_header
 
-INTERIM_LIMIT = 200
+MIN_FINAL_STATUS = 200
 """Statuses below this are interim: the final response follows."""
 
-BODYLESS = frozenset({204, 304})
+BODYLESS_STATUSES = frozenset({204, 304})
 
 
 class AnswerState(enum.Enum):
@@ -38,7 +38,7 @@
         keep_alive_seconds: The keep-alive timeout that the target announced,
             or None.
         skipped: Number of earlier responses to other requests.
-        unnamed: Whether the response lacks the expected request id header.
+        lacks_echo: Whether the response lacks the expected request id header.
     """
 
     def __init__(
@@ -59,7 +59,7 @@
         self.echo = echo
         self.skipped = 0
         self.skipping = False
-        self.unnamed = False
+        self.lacks_echo = False
         self.keep_alive_seconds: int | None = None
         self.max_header_bytes = max_header_bytes
         self.parser = httptools.HttpResponseParser(self)
@@ -122,7 +122,7 @@
             return
         self.state = AnswerState.BROKEN
 
-    def lose(self) -> None:
+    def abort(self) -> None:
         """Handle a reset, which is not a valid end of any response."""
         if self.state is not AnswerState.COMPLETE:
             self.state = AnswerState.BROKEN
@@ -142,7 +142,7 @@
         if self.state is not AnswerState.HEAD:
             return
         status = self.parser.get_status_code()
-        if status < INTERIM_LIMIT:
+        if status < MIN_FINAL_STATUS:
             self.headers = []
             return
         if self._is_for_another():
@@ -155,7 +155,7 @@
         self._read_framing()
         if self.state is AnswerState.BROKEN:
             return
-        if self.method == b"HEAD" or status in BODYLESS:
+        if self.method == b"HEAD" or status in BODYLESS_STATUSES:
             self.state = AnswerState.COMPLETE
         else:
             self.state = AnswerState.BODY
@@ -164,7 +164,7 @@
         if self.echo is None:
             return False
         found = find_header(self.headers, self.echo.name)
-        self.unnamed = found is None
+        self.lacks_echo = found is None
         return found not in (None, self.echo.value)
 
     def _read_framing(self) -> None:
--- a/agatetack/targets/pool.py
+++ b/agatetack/targets/pool.py
@@ -67,16 +67,19 @@
         while self.idle:
             connection = self.idle.pop()
             connection.target.idle_connections = len(self.idle)
-            most = self._max_age(freshness)
+            max_idle_seconds = self._max_idle_seconds(freshness)
             if connection.idle_seconds is not None:
-                most = min(most, connection.idle_seconds - CLOSE_RACE_SECONDS)
-            oldest = max(now - most, self.min_last_byte_at)
+                max_idle_seconds = min(
+                    max_idle_seconds,
+                    connection.idle_seconds - CLOSE_RACE_SECONDS,
+                )
+            oldest = max(now - max_idle_seconds, self.min_last_byte_at)
             if connection.last_byte_at >= oldest and connection.is_quiet():
                 return connection
             self.discard(connection)
         return None
 
-    def _max_age(self, freshness: Freshness) -> float:
+    def _max_idle_seconds(self, freshness: Freshness) -> float:
         if freshness is Freshness.PROVEN:
             return self.settings.claims.proven_connection_seconds
         return self.settings.targets.idle_proof_seconds
--- a/agatetack/targets/rate_limit.py
+++ b/agatetack/targets/rate_limit.py
@@ -11,7 +11,7 @@
 )
 from agatetack.ids import Deadline
 
-MAX_RATE = 1e6
+MAX_REQUESTS_PER_SECOND = 1e6
 """Highest rate limit that is accepted, in requests per second."""
 
 
@@ -21,7 +21,7 @@
     Args:
         values: The values of all header fields with that name, in order.
     """
-    read = read_decimal(values, MAX_RATE)
+    read = read_decimal(values, MAX_REQUESTS_PER_SECOND)
     if read.value == 0:
         return ReadDecimal(problem=DecimalProblem.OUT_OF_RANGE)
     return read
--- a/agatetack/targets/rate_limits.py
+++ b/agatetack/targets/rate_limits.py
@@ -11,10 +11,10 @@
 from agatetack.messages import Headers
 from agatetack.metrics import Metrics
 from agatetack.settings.model import Settings
-from agatetack.targets.rate_limit import MAX_RATE, read_rate
+from agatetack.targets.rate_limit import MAX_REQUESTS_PER_SECOND, read_rate
 from agatetack.targets.state import ReportSource, TargetState
 
-MAX_SHOWN_TARGETS = 200
+MAX_EXPORTED_TARGETS = 200
 """Maximum number of targets whose rate limit is exported as a metric."""
 
 decisions = DecisionLog("targets")
@@ -37,7 +37,7 @@
 
     Attributes:
         name: The header that reports a rate, or None if not configured.
-        shown: The targets whose rate is exported as a metric.
+        exported_targets: The targets whose rate is exported as a metric.
     """
 
     def __init__(self, settings: Settings, metrics: Metrics):
@@ -65,11 +65,11 @@
             "agatetack_target_rate_limit",
             "Requests a second that a target takes; 0 if it names no rate.",
         )
-        self.shown: set[TargetId] = set()
+        self.exported_targets: set[TargetId] = set()
 
     def forget(self, target: TargetState) -> None:
         """Export a rate of 0 for a target that was removed."""
-        if target.id in self.shown:
+        if target.id in self.exported_targets:
             self.rates.set({"target": target.id}, 0.0)
 
     def note_sent(self, target: TargetState, kind: SendKind) -> None:
@@ -120,7 +120,7 @@
             rate: Requests per second; 0 if it no longer reports a limit.
             reported_at: When the target reported it to the first host.
         """
-        if not 0 <= rate <= MAX_RATE:
+        if not 0 <= rate <= MAX_REQUESTS_PER_SECOND:
             self._refuse(target, DecimalProblem.OUT_OF_RANGE, ReportSource.PEER)
             return
         self._note(target, rate or None, reported_at, ReportSource.PEER)
@@ -140,10 +140,10 @@
         now = Deadline(trio.current_time())
         self._note(target, read.value, now, source)
 
-    def _show(self, target: TargetState) -> None:
-        if len(self.shown) < MAX_SHOWN_TARGETS:
-            self.shown.add(target.id)
-        if target.id in self.shown:
+    def _export(self, target: TargetState) -> None:
+        if len(self.exported_targets) < MAX_EXPORTED_TARGETS:
+            self.exported_targets.add(target.id)
+        if target.id in self.exported_targets:
             rate = target.rate_limit.rate or 0.0
             self.rates.set({"target": target.id}, rate)
 
@@ -173,7 +173,7 @@
         if not limit.note(rate, reported_at):
             return
         self.changes.inc({"source": source.value})
-        self._show(target)
+        self._export(target)
         decisions.note(
             "rate-limited" if rate is not None else "rate-limit-over",
             target=target.id,
--- a/agatetack/targets/state.py
+++ b/agatetack/targets/state.py
@@ -17,7 +17,7 @@
 from agatetack.targets.rate_limit import RateLimit
 from agatetack.targets.warmth import Warmth
 
-RECENT_LATENCIES = 64
+MAX_RECENT_LATENCIES = 64
 """Number of recent response times kept for each target."""
 
 
@@ -119,7 +119,7 @@
     report_uses: int = 0
     latency: float | None = None
     recent: deque[float] = dataclasses.field(
-        default_factory=lambda: deque(maxlen=RECENT_LATENCIES)
+        default_factory=lambda: deque(maxlen=MAX_RECENT_LATENCIES)
     )
     last_answer_at: Deadline | None = None
     last_chosen_at: Deadline | None = None
--- a/agatetack/targets/test_answer_check.py
+++ b/agatetack/targets/test_answer_check.py
@@ -57,7 +57,7 @@
 
 @pytest.mark.parametrize(
     ("end", "state"),
-    [("end", AnswerState.COMPLETE), ("lose", AnswerState.BROKEN)],
+    [("end", AnswerState.COMPLETE), ("abort", AnswerState.BROKEN)],
 )
 def test_only_a_proper_end_completes_an_answer_without_a_length(end, state):
     parser = AnswerParser(b"GET", 65536, ECHO)
@@ -66,7 +66,7 @@
     assert parser.state is state
 
 
-@pytest.mark.parametrize("end", ["end", "lose"])
+@pytest.mark.parametrize("end", ["end", "abort"])
 def test_a_cut_answer_is_never_complete(end):
     parser = AnswerParser(b"GET", 65536, ECHO)
     parser.feed(OWN[:-1])
