--- a/agatetack/admission/lane.py
+++ b/agatetack/admission/lane.py
@@ -323,7 +323,7 @@
         if target is None:
             return None
         if target.status is TargetStatus.COLD:
-            self.registry.warm(target, now)
+            self.registry.mark_ready_if_warm(target, now)
         self.share.taken(target)
         return target
 
--- a/agatetack/attempts/probing_admission.py
+++ b/agatetack/attempts/probing_admission.py
@@ -120,7 +120,7 @@
             return Verdict.SLOW if slow else Verdict.ABLE
         if not self.probe.take(target):
             return Verdict.ABLE
-        known_cold = target.warms_up(now)
+        known_cold = target.is_warming_up(now)
         left = max(0.0, wanted.deadline - now)
         seconds = min(PROBE_TIMEOUT_SECONDS, MAX_PROBE_TIME_RATIO * left)
         try:
@@ -130,7 +130,11 @@
             raise
         verdict = _classify(report)
         now = Deadline(trio.current_time())
-        if verdict is Verdict.ABLE and target.warms_up(now) and not known_cold:
+        if (
+            verdict is Verdict.ABLE
+            and target.is_warming_up(now)
+            and not known_cold
+        ):
             # It became cold without a report; the permit assumes a warm one.
             verdict = Verdict.COLD
         if not target.is_willing(now):
--- a/agatetack/balance/cold_share.py
+++ b/agatetack/balance/cold_share.py
@@ -82,7 +82,7 @@
     def allows(self, target: TargetState) -> bool:
         """Return whether this host may send one more request to `target`."""
         now = Deadline(trio.current_time())
-        if not target.warms_up(now):
+        if not target.is_warming_up(now):
             return True
         if self._rate(target) <= 0 or not self._find(target, now).own:
             return False
@@ -90,7 +90,7 @@
 
     def opens_at(self, target: TargetState, now: Deadline) -> Deadline:
         """Return when it may at the soonest; `now` if that is not known."""
-        if not target.warms_up(now) or not target.warmth.known:
+        if not target.is_warming_up(now) or not target.warmth.known:
             return now
         if self._rate(target) > 0 and self._find(target, now).own:
             return max(now, self._free_at(target, now))
@@ -100,7 +100,7 @@
         """Note that a request was given to `target`."""
         now = Deadline(trio.current_time())
         rate = self._rate(target)
-        if rate > 0 and target.warms_up(now):
+        if rate > 0 and target.is_warming_up(now):
             self._find(target, now).free_at = Deadline(now + 1 / rate)
 
     def _free_at(self, target: TargetState, now: Deadline) -> Deadline:
--- a/agatetack/balance/fleet_view.py
+++ b/agatetack/balance/fleet_view.py
@@ -163,7 +163,7 @@
             target
             for target in candidates
             if self.expected_load(target, now) + 1 <= target.slots
-            and not target.warms_up(now)
+            and not target.is_warming_up(now)
             and self.slowness(target, now) <= SPARE_SLOWNESS
         ]
 
--- a/agatetack/balance/learning.py
+++ b/agatetack/balance/learning.py
@@ -114,7 +114,7 @@
         learned = target.learned
         times = 0.0
         if target.warm_up_rate:
-            times += COLD_COST if target.warms_up(now) else 0.0
+            times += COLD_COST if target.is_warming_up(now) else 0.0
         elif target.status is TargetStatus.COLD:
             age = now - target.status_since
             ramp = max(LEAST_RAMP, age / self.settings.balance.cold_seconds)
--- a/agatetack/targets/departures.py
+++ b/agatetack/targets/departures.py
@@ -39,15 +39,15 @@
         return self.records.get(target_id)
 
     def note_sign(
-        self, target: TargetState, why: LeavingSign, now: Deadline
+        self, target: TargetState, sign: LeavingSign, now: Deadline
     ) -> None:
         """Record a sign that `target` is leaving."""
         record = self.records.get(target.id)
         if record is not None:
-            record.note_sign(why, now, self.hold_seconds)
+            record.note_sign(sign, now, self.hold_seconds)
             return
         record = LeavingRecord(
-            why,
+            sign,
             now,
             now,
             returns=self.returns.get(target.id, 0),
@@ -62,7 +62,7 @@
             "target-leaving",
             target=target.id,
             service=target.service,
-            sign=why.value,
+            sign=sign.value,
             final=record.final,
         )
 
--- a/agatetack/targets/registry.py
+++ b/agatetack/targets/registry.py
@@ -245,23 +245,23 @@
         for target in self.by_id.values():
             target.warm_up_rate = rates.get(target.service, 0.0)
 
-    def note_leaving(self, target: TargetState, why: LeavingSign) -> None:
+    def note_leaving(self, target: TargetState, sign: LeavingSign) -> None:
         """Stop new work at `target` at once and have peers informed."""
-        self.counters.signs.inc({"sign": why.value})
+        self.counters.signs.inc({"sign": sign.value})
         if self.departures.is_final(target.id):
             # It repeats this in each response; peers know the first one.
             return
-        self._leave(target, why)
+        self._leave(target, sign)
         for watcher in self.leaving_watchers:
-            watcher(target, why)
+            watcher(target, sign)
 
-    def note_peer_sign(self, target: TargetState, why: LeavingSign) -> None:
+    def note_peer_sign(self, target: TargetState, sign: LeavingSign) -> None:
         """Stop new work at `target` because a peer reported a sign.
 
         The kind of sign is kept, so that all hosts hold the target equally.
         """
         self.counters.signs.inc({"sign": LeavingSign.PEER.value})
-        self._leave(target, why)
+        self._leave(target, sign)
 
     def note_slowness(self, target: TargetState) -> None:
         """Note that this host found `target` to be slow or no longer slow."""
@@ -290,7 +290,7 @@
         if self.departures.may_return(target.id, now):
             self._return(target, now)
 
-    def warm(self, target: TargetState, now: Deadline) -> None:
+    def mark_ready_if_warm(self, target: TargetState, now: Deadline) -> None:
         """Make a cold target ready once its warm-up is over."""
         if target.warm_up_rate:
             over = not target.warmth.is_cold(now)
@@ -318,12 +318,12 @@
         now = Deadline(trio.current_time())
         return not self.departures.is_held(target.id, now)
 
-    def _leave(self, target: TargetState, why: LeavingSign) -> None:
+    def _leave(self, target: TargetState, sign: LeavingSign) -> None:
         if self.by_id.get(target.id, target) is not target:
             # The sign is about an earlier incarnation of the target.
             return
         now = Deadline(trio.current_time())
-        self.departures.note_sign(target, why, now)
+        self.departures.note_sign(target, sign, now)
         if target.status is not TargetStatus.LEAVING:
             target.status = TargetStatus.LEAVING
             target.status_since = now
--- a/agatetack/targets/state.py
+++ b/agatetack/targets/state.py
@@ -133,7 +133,7 @@
     pushback_until: Deadline = Deadline(-math.inf)
     pushbacks: int = 0
 
-    def warms_up(self, now: Deadline) -> bool:
+    def is_warming_up(self, now: Deadline) -> bool:
         """Return whether it may be cold and limits its rate meanwhile."""
         return self.warm_up_rate > 0 and self.warmth.is_cold(now)
 
