--- a/agatetack/admission/controller.py
+++ b/agatetack/admission/controller.py
@@ -1,4 +1,4 @@
-"""Define how a request gets leave to go to a target."""
+"""Define the interface that grants requests permits to go to a target."""
 
 import abc
 import dataclasses
@@ -15,7 +15,7 @@
 
 
 class AttemptResult(enum.Enum):
-    """What an attempt says of its target."""
+    """How an attempt ended, as feedback on its target."""
 
     ANSWERED = "answered"
     SHED = "shed"
@@ -31,7 +31,7 @@
 
 
 class Permit(abc.ABC):
-    """Leave to send one attempt to one target; released exactly once.
+    """Permission to send one attempt to one target; released exactly once.
 
     Attributes:
         target: Where the attempt goes.
@@ -41,24 +41,24 @@
 
     @abc.abstractmethod
     def answered_headers(self, latency: float) -> None:
-        """Note that answer headers came `latency` seconds after the start."""
+        """Record that the headers arrived `latency` seconds after the start."""
 
     @abc.abstractmethod
     def release(self, result: AttemptResult) -> None:
-        """Give the target's place back and note what the attempt showed."""
+        """Release the target's slot and record how the attempt ended."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class PermitRequest:
-    """What a permit is asked for.
+    """The parameters of one call of `acquire`.
 
     Attributes:
         route: The request's route.
         request: The request.
-        deadline: When a permit is of no more use.
+        deadline: Time after which a permit is of no use.
         priority: Which waiting requests go first.
         avoid: Targets that have already had this request.
-        wait: Whether to queue when no target is free; a hedge does not.
+        wait: Whether to queue when no target is free; false for a hedge.
     """
 
     route: Route
@@ -70,12 +70,12 @@
 
 
 class AdmissionController(abc.ABC):
-    """Limits and queues in front of the targets."""
+    """Limits and queues the requests that go to the targets."""
 
     @abc.abstractmethod
     async def acquire(self, wanted: PermitRequest) -> Result[Permit, Refusal]:
-        """Return a permit, or why the request is refused as not run."""
+        """Return a permit, or the refusal of a request that was not run."""
 
     @abc.abstractmethod
     def retry_at(self, route: Route) -> Deadline:
-        """Return when a caller that was refused should ask again."""
+        """Return when a refused caller should retry."""
--- a/agatetack/admission/lane.py
+++ b/agatetack/admission/lane.py
@@ -1,4 +1,4 @@
-"""Decide for one service who goes to a target, who waits and who is refused."""
+"""Admit, queue or refuse the requests of one service."""
 
 from collections.abc import Sequence
 
@@ -14,27 +14,31 @@
 from agatetack.targets.state import TargetState, TargetStatus
 
 LATENCY_WEIGHT = 0.05
-"""Weight of one answer in the service's moving latency."""
+"""Weight of one answer in the service's moving average of the latency."""
 
 QUICK_SHARE = 0.5
-"""Share of the usual latency below which an answer is not hoped for."""
+"""Ratio of the usual latency below which no answer is expected. A request with
+less time left before its deadline is refused."""
 
 GAP_WEIGHT = 0.1
-"""Weight of one served waiter in the moving time between two."""
+"""Weight of one interval in the moving average of the time between two waiters
+that get a target."""
 
 IN_TIME_SHARE = 0.75
-"""Share of the usual latency that an answer in time takes at least.
+"""Ratio of the usual latency that has to be left of a route's target latency
+for an answer to be in time.
 
-A request for which less is left of its route's target latency goes behind
-those that can still be answered in time.
+Requests with less left go behind those that can still be answered in time.
 """
 
 LATE_YIELD_SECONDS = 0.02
-"""How long a slot that came free is left to requests that can be answered in
-time, on any host: the turns of some 14 hosts (see `measure.occupancy`)."""
+"""How long a freed slot is reserved for requests, on any host, that can still
+meet their target latency. In this time about 14 hosts get their turn to take
+the slot (see `measure.occupancy`)."""
 
 LOW_QUIET_SECONDS = 1.0
-"""Time without normal requests after which low ones may use every slot."""
+"""Time without normal-priority requests after which low-priority ones may use
+every slot."""
 
 
 class Lane:
@@ -42,10 +46,14 @@
 
     Attributes:
         queues: Waiting requests, by priority.
-        latency: Moving answer time, in seconds, or None before the first.
-        gap: Moving time between two served waiters, in seconds, or None.
-        standing_since: Since when somebody has always waited, or None.
-        normal_at: When the last normal request came.
+        latency: Moving average of the time to an answer, in seconds, or None
+            before the first answer.
+        gap: Moving average of the time between two waiters that get a target,
+            in seconds, or None before the first.
+        served_at: When the last waiter got a target, or when the queue last
+            became non-empty, if that is later.
+        standing_since: Since when the queue has not been empty, or None.
+        normal_at: When the last normal-priority request arrived.
     """
 
     def __init__(
@@ -56,14 +64,14 @@
         policy: Policy,
         share: TargetShare,
     ):
-        """Start with nobody waiting.
+        """Start with empty queues.
 
         Args:
             service: The service.
             settings: The host's settings.
             registry: The targets.
-            policy: How one is chosen.
-            share: What this host may send to each target.
+            policy: How a target is chosen.
+            share: Limits what this host may send to each target.
         """
         self.service = service
         self.settings = settings
@@ -79,11 +87,11 @@
 
     @property
     def size(self) -> int:
-        """Return how many requests wait."""
+        """Return how many requests are waiting."""
         return sum(queue.size for queue in self.queues.values())
 
     def check(self, wanted: PermitRequest, now: Deadline) -> Refusal | None:
-        """Return why the request is hopeless, or None."""
+        """Return a refusal if the request cannot be answered at all."""
         if wanted.priority is Priority.NORMAL:
             self.normal_at = now
         if now >= wanted.deadline:
@@ -97,7 +105,7 @@
     def check_queue(
         self, wanted: PermitRequest, now: Deadline
     ) -> Refusal | None:
-        """Return why the request may not wait, or None; may push one out."""
+        """Return a refusal if the request may not wait; may evict a waiter."""
         queue = self.queues[wanted.priority]
         route = wanted.route
         newest_first = self._order(now) is Order.NEWEST_FIRST
@@ -107,7 +115,7 @@
             oldest = queue.oldest_of_longest(route.id)
             if not newest_first or oldest is None or not most_in_time:
                 return self._refuse_for_share(wanted, now)
-            # It would go after all that are newer, and come too late.
+            # Newest first, the oldest waiter is served last, which is too late.
             self._push_out(oldest, self._refuse_for_share(wanted, now))
         wait = ahead * (self.gap or 0.0)
         if now + wait + self.quick_latency > wanted.deadline:
@@ -123,16 +131,16 @@
         return self.refuse_full(now, "The route's queue is full.")
 
     def _usable(self, route: Route) -> Sequence[TargetState]:
-        """Return the targets that may get new work and requests of `route`."""
+        """Return the targets that may get new requests of `route`."""
         return self.registry.targets_in(self.service, route.regions)
 
     def _opens_at(self, wanted: PermitRequest, now: Deadline) -> Deadline:
-        """Return when this host may send to any of the targets again."""
+        """Return the earliest time this host may send to one of the targets."""
         targets = self._usable(wanted.route)
         return min(self.share.opens_at(target, now) for target in targets)
 
     def _most_in_time(self, wanted: PermitRequest, now: Deadline) -> float:
-        """Return how many requests its share lets this host send in time."""
+        """Return how many requests this host's share allows in time."""
         until = Deadline(wanted.deadline - self.quick_latency)
         return sum(
             self.share.most_until(target, now, until)
@@ -140,14 +148,14 @@
         )
 
     def _any_opens_at(self, route: Route, now: Deadline) -> Deadline:
-        """Return when any host may send to any of the targets again."""
+        """Return the earliest time any host may send to one of the targets."""
         targets = self._usable(route)
         return min(self.share.any_opens_at(target, now) for target in targets)
 
     def take_now(
         self, wanted: PermitRequest, now: Deadline
     ) -> TargetState | None:
-        """Return a target if nobody else is before this request."""
+        """Return a target unless other waiting requests go first."""
         for priority, queue in self.queues.items():
             if queue.size and priority is not Priority.LOW:
                 return None
@@ -156,20 +164,20 @@
         return self._choose(wanted, now)
 
     def add(self, waiter: Waiter, now: Deadline) -> None:
-        """Let `waiter` wait."""
+        """Add `waiter` to the queue of its priority."""
         if not self.size:
             self.standing_since = now
             self.served_at = now
         self.queues[waiter.wanted.priority].add(waiter)
 
     def forget(self, waiter: Waiter) -> None:
-        """Take `waiter` out, if it still waits."""
+        """Remove `waiter` if it is still queued."""
         self.queues[waiter.wanted.priority].remove(waiter)
         if not self.size:
             self.standing_since = None
 
     def serve(self, now: Deadline) -> None:
-        """Give free targets to waiting requests, normal ones first."""
+        """Assign free targets to waiting requests, normal priority first."""
         for priority in (Priority.NORMAL, Priority.LOW):
             queue = self.queues[priority]
             while self._serve_one(queue, now):
@@ -178,10 +186,10 @@
                 return
 
     def refuse_all(self, now: Deadline) -> None:
-        """Refuse whoever waits, as no target of the service takes work now.
+        """Refuse all waiting requests, as no target of the service takes work.
 
-        A caller that is told so can ask again; one that waits for targets that
-        may stay away learns it at its deadline.
+        A refused caller can retry at once, whereas a request that waits for
+        targets that may not come back fails only at its deadline.
         """
         for queue in self.queues.values():
             for waiter in queue.waiters():
@@ -206,20 +214,20 @@
         )
 
     def give_up_at(self, wanted: PermitRequest, now: Deadline) -> Deadline:
-        """Return when a target would come too late for an answer."""
+        """Return when a target would be free too late to answer in time."""
         latest = wanted.deadline - self.quick_latency
         return Deadline(max(now, latest))
 
     def retry_at(self, now: Deadline) -> Deadline:
-        """Return when a refused caller should ask again."""
+        """Return when a refused caller should retry."""
         wait = self.queues[Priority.NORMAL].size * (self.gap or 0.0)
         least = self.settings.admission.retry_after_seconds
         return Deadline(now + max(least, wait))
 
     def come_back_at(self, route: Route, now: Deadline) -> Deadline:
-        """Return when a caller whose request targets refused should be back.
+        """Return when a caller should retry that the targets refused.
 
-        What one target asked for says nothing of the others.
+        The delay that one target asked for does not apply to the others.
         """
         retry_at = self.retry_at(now)
         if not self._usable(route):
@@ -227,10 +235,10 @@
         return max(retry_at, self._any_opens_at(route, now))
 
     def look_again_at(self, wanted: PermitRequest, now: Deadline) -> Deadline:
-        """Return when a waiting request has to look for a target by itself.
+        """Return when a waiting request has to start polling for a target.
 
-        That a target's share opens, or that estimates fade once the answer is
-        late, no event announces.
+        No event announces that this host's share of a target allows another
+        request, or that load estimates decay once the answer is late.
         """
         late_at = self.late_at(wanted)
         targets = self._usable(wanted.route)
@@ -240,7 +248,7 @@
         return min(late_at, opens_at) if opens_at > now else late_at
 
     def late_at(self, wanted: PermitRequest) -> Deadline:
-        """Return from when on the answer would come after what is wanted."""
+        """Return from when on the route's target latency cannot be met."""
         target = wanted.route.target_latency_seconds
         if not target:
             return wanted.deadline
@@ -248,11 +256,11 @@
         return Deadline(wanted.request.arrived + target - usual)
 
     def refuse_full(self, now: Deadline, detail: str) -> Refusal:
-        """Return the refusal for want of room."""
+        """Return the refusal of a request for which there is no capacity."""
         return refuse(RefusalReason.QUEUE_FULL, detail, self.retry_at(now))
 
     def note_latency(self, latency: float) -> None:
-        """Learn the usual answer time."""
+        """Update the moving average of the time to an answer."""
         if self.latency is None:
             self.latency = latency
         else:
@@ -260,7 +268,7 @@
 
     @property
     def quick_latency(self) -> float:
-        """Return the least time an answer is expected to take."""
+        """Return the shortest time in which an answer is expected."""
         return QUICK_SHARE * (self.latency or 0.0)
 
     def _late(self, now: Deadline, detail: str) -> Refusal:
@@ -296,7 +304,8 @@
         if target is None:
             return False
         queue.pop(waiter)
-        # Counted here and not by the woken task, as others may choose first.
+        # Counted here and not by the woken task, as other tasks may choose a
+        # target before that one runs.
         target.in_flight += 1
         waiter.target = target
         waiter.event.set()
@@ -340,8 +349,8 @@
         ]
         if wanted.avoid:
             other = [t for t in free if t.id not in wanted.avoid]
-            # With no other target a retry may ask the same one again, but a
-            # hedge there would only wait behind itself.
+            # If there is no other target, a retry may go to the same one again,
+            # but a hedge would only queue there behind its own first attempt.
             if other or not wanted.wait:
                 free = other
         free = _proven(free, wanted)
@@ -377,14 +386,14 @@
 def _proven(
     free: Sequence[TargetState], wanted: PermitRequest
 ) -> Sequence[TargetState]:
-    """Return the targets without those on trial that this is no request for.
+    """Return the targets without those on trial that should not get `wanted`.
 
-    A target on trial gets one request at a time. A request that was turned
-    away already, or has one attempt only, goes elsewhere if it can.
+    A target on trial gets one request at a time. A retry, or a request that has
+    one attempt only, goes to a target that is not on trial if there is one.
     """
     proven = [target for target in free if not target.on_trial]
     if len(proven) == len(free) or not wanted.wait:
-        # A hedge can do without, as the first attempt is still under way.
+        # A hedge is not needed, as the first attempt is still in flight.
         return proven
     if wanted.avoid or wanted.route.max_attempts == 1:
         return proven or free
--- a/agatetack/admission/limits.py
+++ b/agatetack/admission/limits.py
@@ -1,28 +1,28 @@
-"""Adapt how many requests this host puts at one target at the same time."""
+"""Adapt the limit of concurrent requests from this host to each target."""
 
 from agatetack.settings.model import Settings
 from agatetack.targets.state import TargetState
 
 SHED_FACTOR = 0.5
-"""What a shed answer leaves of the limit."""
+"""Factor by which the limit is cut when a target sheds a request."""
 
 CROWDED_FACTOR = 0.9
-"""What an answer that waited for too long leaves of the limit."""
+"""Factor by which the limit is cut at an answer of a crowded target."""
 
 CROWDED_SLOTS = 4
-"""A target with this many requests for each slot is crowded."""
+"""A target with more requests than this for each slot counts as crowded."""
 
 
 class TargetLimits:
-    """Grow a target's limit by answers, cut it by shed answers and waits."""
+    """Raises a target's limit at answers; cuts it if it sheds or is crowded."""
 
     def __init__(self, settings: Settings):
-        """Keep the bounds."""
+        """Take the bounds of the limits from `settings`."""
         self.least = settings.admission.min_target_limit
         self.most = max(self.least, settings.admission.max_target_limit)
 
     def answered(self, target: TargetState) -> None:
-        """Note an answer: grow, or shrink where requests pile up."""
+        """Record an answer: raise the limit, or cut it if it is crowded."""
         learned = target.learned
         report = target.report
         crowded = (
@@ -35,7 +35,7 @@
             self._set(target, learned.limit + 1 / learned.limit)
 
     def shed(self, target: TargetState) -> None:
-        """Note that the target refused a request for its load."""
+        """Cut the limit as the target refused a request because of its load."""
         self._set(target, target.learned.limit * SHED_FACTOR)
 
     def _set(self, target: TargetState, limit: float) -> None:
--- a/agatetack/admission/queue.py
+++ b/agatetack/admission/queue.py
@@ -1,4 +1,4 @@
-"""Keep the requests that wait for a target, fair between routes and callers."""
+"""Queue requests that wait for a target, fairly between routes and callers."""
 
 import dataclasses
 import enum
@@ -25,11 +25,11 @@
     """One waiting request.
 
     Attributes:
-        wanted: What it waits for.
+        wanted: The permit it waits for.
         since: When it began to wait.
         event: Set once it has a target or a refusal.
-        target: The target it got, already counted there.
-        refusal: Why it waits no longer without a target.
+        target: The target it got, which already counts it as in flight.
+        refusal: Why it was removed from the queue without a target.
     """
 
     wanted: PermitRequest
@@ -45,8 +45,8 @@
 class FairQueue:
     """Waiting requests of one priority.
 
-    Routes take turns, and so do the callers of a route, so that one busy
-    caller cannot make the others wait behind it.
+    Routes are served round-robin, and so are the callers of a route, so that
+    one busy caller cannot delay the others.
 
     Attributes:
         size: Requests waiting.
@@ -60,7 +60,7 @@
         self.route_sizes: dict[RouteId, int] = {}
 
     def add(self, waiter: Waiter) -> None:
-        """Let `waiter` wait behind its caller's others."""
+        """Append `waiter` to the queue of its caller."""
         route = waiter.wanted.route.id
         callers = self.routes.setdefault(route, OrderedDict())
         caller = waiter.wanted.request.caller
@@ -69,7 +69,7 @@
         self.route_sizes[route] = self.route_sizes.get(route, 0) + 1
 
     def remove(self, waiter: Waiter) -> None:
-        """Forget a waiter that is still here; else do nothing."""
+        """Remove a waiter if it is still queued."""
         callers = self.routes.get(waiter.wanted.route.id)
         queue = callers.get(waiter.wanted.request.caller) if callers else None
         if queue is None or waiter not in queue:
@@ -78,7 +78,7 @@
         self._forget(waiter)
 
     def waiters(self) -> list[Waiter]:
-        """Return all that wait."""
+        """Return all waiters."""
         return [
             waiter
             for callers in self.routes.values()
@@ -93,8 +93,8 @@
 
         Args:
             order: Which of a caller's waiters goes first.
-            in_time: Whether a waiter can still be answered in time; those
-                that can't go last.
+            in_time: Returns whether a waiter can still be answered in time;
+                those that cannot go last.
         """
         first = None
         for callers in self.routes.values():
@@ -109,7 +109,7 @@
         return first
 
     def pop(self, waiter: Waiter) -> None:
-        """Take out the waiter that `peek` returned and pass the turn on."""
+        """Remove the waiter that `peek` returned and end its caller's turn."""
         route = waiter.wanted.route.id
         caller = waiter.wanted.request.caller
         self.remove(waiter)
@@ -119,7 +119,7 @@
                 self.routes[route].move_to_end(caller)
 
     def oldest_of_longest(self, route: RouteId) -> Waiter | None:
-        """Return the first waiter of the route's caller with most waiting."""
+        """Return the oldest waiter of the route's caller with the most."""
         callers = self.routes.get(route)
         if not callers:
             return None
--- a/agatetack/admission/rates.py
+++ b/agatetack/admission/rates.py
@@ -1,4 +1,4 @@
-"""Hold each route to its requests per second over the whole fleet."""
+"""Enforce each route's limit of requests per second over the whole fleet."""
 
 from collections.abc import Callable
 
@@ -8,14 +8,14 @@
 from agatetack.ids import Deadline, RouteId
 
 BURST_SECONDS = 0.5
-"""Seconds of a route's rate that may come at once."""
+"""Size of a route's burst, in seconds of its rate."""
 
 
 class RouteRates:
-    """Count requests of routes with a rate against this host's share."""
+    """A token bucket for this host's share of the rate of each route."""
 
     def __init__(self, fleet_size: Callable[[], int]):
-        """Share rates over the number of hosts that `fleet_size` returns."""
+        """Divide rates by the number of hosts that `fleet_size` returns."""
         self.fleet_size = fleet_size
         self.tokens: dict[RouteId, float] = {}
         self.filled_at: dict[RouteId, float] = {}
@@ -24,7 +24,7 @@
         """Count one request.
 
         Returns:
-            None, or when to ask again if the share is used up.
+            None, or when to retry if the share is used up.
         """
         rate = route.requests_per_second / max(1, self.fleet_size())
         now = trio.current_time()
--- a/agatetack/admission/service.py
+++ b/agatetack/admission/service.py
@@ -1,4 +1,4 @@
-"""Give requests leave to go to targets: limits, queues and refusals."""
+"""Grant requests permits to go to targets, or queue or refuse them."""
 
 import itertools
 from collections.abc import Callable
@@ -28,22 +28,24 @@
 from agatetack.targets.state import TargetState
 
 LATENCY_WEIGHT = 0.1
-"""Weight of one answer in a target's moving latency."""
+"""Weight of one answer in the moving average of a target's latency."""
 
 LOW_POLL_SECONDS = 0.05
-"""How often a waiting low-priority request looks for a free slot again."""
+"""How often a waiting low-priority request polls for a free slot."""
 
 LATE_POLL_SECONDS = 0.02
-"""How often a request that can't be answered in time any more does so."""
+"""How often a waiting request that can no longer meet its route's target
+latency polls for a free slot."""
 
 
 class ServicePermit(Permit):
-    """Leave to send one attempt, counted at its target.
+    """Permission to send one attempt, which its target counts as in flight.
 
     Attributes:
-        waiting: Requests thought to be at the target when this was given.
-        started: When it was given.
-        undone: Failures of the target that the answer's headers took back.
+        waiting: Requests estimated at the target when the permit was granted.
+        started: When it was granted.
+        undone: Failures of the target that were reset when the answer's
+            headers arrived.
     """
 
     __slots__ = (
@@ -64,7 +66,7 @@
         waiting: float,
         started: Deadline,
     ):
-        """Keep what the release needs."""
+        """Store what the release needs."""
         self.target = target
         self.admission = admission
         self.number = number
@@ -74,11 +76,11 @@
         self.done = False
 
     def answered_headers(self, latency: float) -> None:
-        """Note that answer headers came `latency` seconds after the start."""
+        """Record that the headers arrived `latency` seconds after the start."""
         self.admission.note_answer(self, latency)
 
     def release(self, result: AttemptResult) -> None:
-        """Give the target's place back; a second release does nothing."""
+        """Release the target's slot; a second release does nothing."""
         if self.done:
             return
         self.done = True
@@ -106,10 +108,12 @@
         Args:
             settings: The host's settings.
             registry: The targets.
-            policy: How one is chosen.
-            metrics: Where refusals are counted by the caller of `acquire`.
+            policy: How a target is chosen.
+            metrics: Where queued requests are counted; refusals are counted by
+                the caller of `acquire`.
             fleet_size: Returns the number of hosts, for routes with a rate.
-            share: What this host may send to each target; all if None.
+            share: Limits what this host may send to each target; unlimited if
+                None.
         """
         self.share = share or NoShare()
         self.settings = settings
@@ -130,7 +134,7 @@
         registry.watchers.append(self._targets_changed)
 
     async def acquire(self, wanted: PermitRequest) -> Result[Permit, Refusal]:
-        """Return a permit, or why the request is refused as not run."""
+        """Return a permit, or the refusal of a request that was not run."""
         now = Deadline(trio.current_time())
         route = wanted.route
         first_attempt = wanted.wait and not wanted.avoid
@@ -156,7 +160,7 @@
         return await self._wait(lane, wanted, now)
 
     def retry_at(self, route: Route) -> Deadline:
-        """Return when a caller that was refused should ask again."""
+        """Return when a refused caller should retry."""
         now = Deadline(trio.current_time())
         return self._lane(route.service).come_back_at(route, now)
 
@@ -168,7 +172,7 @@
             return Failure(refusal)
         waiter = Waiter(wanted, now)
         lane.add(waiter, now)
-        # A place may have come up while somebody else was waiting.
+        # A slot may have become free while other requests were waiting.
         self._serve(lane, now)
         self._show_queue(lane)
         try:
@@ -204,15 +208,15 @@
                 with trio.move_on_at(lane.look_again_at(waiter.wanted, now)):
                     await waiter.event.wait()
                 poll = LATE_POLL_SECONDS
-            # Estimates fade with time, and others' turns pass, which no event
-            # announces.
+            # Load estimates decay with time, and other hosts' turns to take a
+            # slot pass, neither of which triggers an event.
             while not waiter.event.is_set():
                 with trio.move_on_after(poll):
                     await waiter.event.wait()
                 self._serve(lane, Deadline(trio.current_time()))
 
     def note_answer(self, permit: ServicePermit, latency: float) -> None:
-        """Learn from the headers of an answer."""
+        """Update the estimates of the target from an answer's headers."""
         now = Deadline(trio.current_time())
         target = permit.target
         target.last_answer_at = now
@@ -223,8 +227,8 @@
             target.latency = latency
         else:
             target.latency += LATENCY_WEIGHT * (latency - target.latency)
-        # Headers end the wait for a slot; a long body must not make the
-        # target look stuck.
+        # The wait for a slot ends with the headers. A long body must not make
+        # the target look stuck.
         target.learned.sent.pop(permit.number, None)
         self.policy.answered(target, latency, permit.waiting, now)
         self.limits.answered(target)
@@ -233,23 +237,25 @@
     def note_release(
         self, permit: ServicePermit, result: AttemptResult
     ) -> None:
-        """Give a place back and serve whoever waits for it."""
+        """Release a slot and serve the requests that wait for it."""
         now = Deadline(trio.current_time())
         target = permit.target
         target.in_flight -= 1
         if target.free_slot_at:
-            # Hosts take turns there, and this one's has come.
+            # Hosts take turns at this target's slots. This host freed the slot
+            # itself, so it need not wait for its turn.
             target.free_slot_at = now
         target.learned.sent.pop(permit.number, None)
         if result is AttemptResult.SHED:
             self.limits.shed(target)
             self.policy.shed(target, now)
         elif result is AttemptResult.FAILED:
-            # An answer that is cut was none, whatever its headers undid.
+            # A truncated answer is a failure, so the failures that its headers
+            # reset count again.
             target.failures += 1 + permit.undone
             self.policy.failed(target, now)
-        # This host's own waiting requests go first: whoever else was told of
-        # the slot would have to wait until it is known there.
+        # This host's own waiting requests go first, as other hosts learn of the
+        # free slot only after a message has reached them.
         self._serve(self._lane(target.service), now)
         self.registry.note_in_flight(target)
 
--- a/agatetack/admission/test_order.py
+++ b/agatetack/admission/test_order.py
@@ -29,7 +29,7 @@
         await fill(bed, nursery, "abc")
         await trio.sleep(0.2)
         await fill(bed, nursery, "d")
-        # The oldest makes room and learns it at once.
+        # The oldest waiter is evicted and refused at once.
         assert list(bed.refused) == ["b"]
         bed.answer()
         await trio.testing.wait_all_tasks_blocked()
@@ -65,7 +65,7 @@
 @pytest.mark.parametrize(
     ("others", "quiet", "served"),
     [
-        # With normal requests about, one slot is left for the next of them.
+        # If normal requests arrived lately, one slot is reserved for the next.
         (0, False, True),
         (1, False, False),
         (2, False, False),
@@ -106,7 +106,8 @@
     bed.admission._lane(route.service).note_latency(0.2)
     async with trio.open_nursery() as nursery:
         await fill(bed, nursery, ["first", "late"], route=route)
-        # Three quarters of the usual 0.2 s no longer fit into its 0.4 s.
+        # Of the target latency of 0.4 s less than 0.15 s is left, which is
+        # three quarters of the usual latency of 0.2 s.
         await trio.sleep(0.3)
         await fill(bed, nursery, ["in time", "next"], route=route)
         for _ in range(4):
@@ -124,7 +125,7 @@
     bed = make_bed()
     route = make_route(target_latency_seconds=0.4)
     bed.admission._lane(route.service).note_latency(0.2)
-    # Hosts take turns at the target.
+    # The hosts take turns at the target's free slots.
     bed.targets[0].free_slot_at = Deadline(0.001)
     await trio.sleep(1.0)
     async with trio.open_nursery() as nursery:
--- a/agatetack/admission/test_service.py
+++ b/agatetack/admission/test_service.py
@@ -1,4 +1,4 @@
-"""Test limits, queues and refusals with faults in tables."""
+"""Test limits, queues and refusals of requests."""
 
 import dataclasses
 
@@ -128,7 +128,7 @@
     await bed.ask("a")
     async with trio.open_nursery() as nursery:
         await fill(bed, nursery, "b", priority=priority)
-        # The place comes in the same moment as the cancel.
+        # The slot becomes free at the same moment as the waiter is cancelled.
         bed.answer()
         nursery.cancel_scope.cancel()
     held = len(bed.permits)
@@ -153,7 +153,7 @@
 @pytest.mark.parametrize(
     ("results", "failures"),
     [
-        # An answer that is cut takes back what its headers had undone.
+        # A truncated answer restores the failures that its headers had reset.
         ([AttemptResult.FAILED, AttemptResult.FAILED], 2),
         ([AttemptResult.FAILED, ANSWERED, AttemptResult.FAILED], 1),
         ([AttemptResult.FAILED, AttemptResult.FAILED, ANSWERED], 0),
@@ -219,7 +219,7 @@
         for refusal in bed.refused.values():
             assert refusal.reason is RefusalReason.NO_TARGET
             assert refusal.retry_at > trio.current_time()
-        # Those under way end where they are, and nobody follows them.
+        # Requests in flight finish, and no new ones are sent.
         bed.answer()
         bed.answer()
         assert bed.in_flight() == 0
@@ -237,7 +237,7 @@
         ((), {"10.0.0.1:80", "10.0.0.2:80", "10.0.0.3:80"}),
         (("north",), {"10.0.0.1:80"}),
         (("north", "south"), {"10.0.0.1:80", "10.0.0.2:80"}),
-        # A failure domain that is not named lies in the host's own region.
+        # A failure domain missing in the settings is in the host's own region.
         (("region-a",), {"10.0.0.3:80"}),
         (("elsewhere",), set()),
     ],
@@ -254,7 +254,8 @@
     )
     route = dataclasses.replace(make_route(), regions=regions)
     for name in "abcd":
-        # One that finds no place left, a hedge too, is refused at once.
+        # A request that does not wait, such as a hedge, is refused at once if
+        # no slot is free.
         await bed.ask(name, route=route, wait=False)
     assert {permit.target.id for permit in bed.permits} == usable
     assert len(bed.refused) == 4 - len(usable)
--- a/agatetack/admission/test_support.py
+++ b/agatetack/admission/test_support.py
@@ -1,4 +1,4 @@
-"""Stand in for what admission needs, and note what came of requests."""
+"""Provide a harness for admission tests that records the result of requests."""
 
 import dataclasses
 
@@ -24,7 +24,7 @@
 
 @dataclasses.dataclass
 class Bed:
-    """An admission with its registry, and what came of the requests."""
+    """An admission controller with its registry and the results of requests."""
 
     registry: TargetRegistry
     admission: ServiceAdmission
@@ -38,11 +38,11 @@
         return self.registry.targets(SERVICE)
 
     def in_flight(self):
-        """Return the requests at all targets."""
+        """Return the number of requests in flight at all targets."""
         return sum(t.in_flight for t in self.registry.by_id.values())
 
     async def ask(self, name, caller="caller", seconds=10.0, **fields):
-        """Ask for a permit and note what came of it."""
+        """Ask for a permit and record the result."""
         request = make_request(caller, seconds, name)
         wanted = PermitRequest(
             fields.pop("route", make_route()),
@@ -58,7 +58,7 @@
             self.refused[name] = result.failure()
 
     def answer(self, latency=0.01):
-        """Answer the oldest request that is out."""
+        """Answer the oldest request in flight."""
         permit = self.permits.pop(0)
         permit.answered_headers(latency)
         permit.release(ANSWERED)
@@ -77,7 +77,7 @@
 
 
 async def fill(bed, nursery, names, **fields):
-    """Let requests come one after the other."""
+    """Start requests one after the other."""
     for name in names:
         nursery.start_soon(lambda name=name: bed.ask(name, **fields))
         await trio.testing.wait_all_tasks_blocked()
