--- a/agatetack/balance/cold_share.py
+++ b/agatetack/balance/cold_share.py
@@ -1,10 +1,11 @@
-"""Keep a whole fleet within what a target takes while it warms up.
-
-A target that has just started takes a few requests a second and crashes at a
-rate well above that. Hosts can't count on hearing each other, and all of them
-hear of a restart at the same moment. So while a target is cold only one host
-sends to it, its owner by a hash over the registered hosts. Hosts whose lists
-differ may each take themselves for the owner; the rate leaves room for three.
+"""Limit the rate of requests that a fleet sends to a target while it warms up.
+
+A target that has just started can handle a few requests per second and crashes
+at a rate well above that. Hosts cannot rely on messages from each other, and
+all of them learn of a restart at the same moment. Therefore only one host, the
+target's owner, sends to a cold target. The owner is chosen by a hash over the
+registered hosts. Hosts whose lists differ may each consider themselves the
+owner; the rate allows for three owners.
 """
 
 from collections.abc import Callable, Sequence
@@ -20,30 +21,33 @@
 from agatetack.targets.state import TargetState
 
 MOST_OWNERS = 3
-"""Hosts that may take themselves for a target's owner in the same second: by
-the list before a host joined or left, by that after it, and one that was
-started again and has forgotten what it sent."""
+"""Number of hosts that may consider themselves a target's owner in the same
+second: the owner by the host list before a host joined or left, the owner by
+the list after it, and a restarted host that has lost track of what it sent."""
 
 OWNED_SECONDS = 0.3
-"""How often a target's owner is worked out anew, some 30 hashes for each; a
-list that changed binds as soon as most other news do."""
+"""How often a target's owner is recomputed, which takes about 30 hashes for
+each target. A changed host list takes effect as fast as most other updates."""
 
 QUIET_SECONDS = 1.0
-"""How long even the owner sends nothing to a target that was found cold. What
-all hosts sent before any of them knew falls into the same second: with a probe
-each 0.17 s and 0.02 s to tell, up to 13 of 60 requests a second."""
+"""How long even the owner sends nothing to a target that was found cold.
+
+Requests that were sent before the hosts learned of it count towards the same
+second. With a probe every 0.17 s and 0.02 s to inform the other hosts, these
+are up to 13 at 60 requests per second.
+"""
 
 Registered = Callable[[], Sequence[ListedHost]]
-"""Returns the hosts that are registered, this one included if it is."""
+"""Returns the registered hosts, including this one if it is registered."""
 
 
 class OwnedTarget:
-    """A cold target as this host sees it.
+    """What this host knows of the ownership of a cold target.
 
     Attributes:
         own: Whether this host is its owner.
-        until: When that is worked out anew.
-        free_at: When this host may send there next.
+        until: When the owner is recomputed.
+        free_at: When this host may next send to the target.
     """
 
     __slots__ = ("own", "until", "free_at")
@@ -56,14 +60,15 @@
 
 
 class ColdShare(TargetShare):
-    """This host's part of what cold targets may get from the fleet.
+    """This host's share of the rate at which cold targets take requests.
 
-    Targets of services without a rate for cold ones are not bounded. With 96
-    hosts that each held back by their own view, a target that came back got 17
-    requests within a second where 16.4 were allowed.
+    Targets of services without a warm-up rate are not limited. If each host
+    only limits itself by its own view, the fleet exceeds the bound: with 96
+    hosts a restarted target got 17 requests within a second where 16.4 were
+    allowed.
 
     Attributes:
-        targets: The cold targets that were asked for, by start of a process.
+        targets: The cold targets that were looked up, by process.
     """
 
     def __init__(
@@ -89,7 +94,7 @@
         return now >= self._free_at(target, now)
 
     def opens_at(self, target: TargetState, now: Deadline) -> Deadline:
-        """Return when it may at the soonest; `now` if that is not known."""
+        """Return the earliest time it may send; `now` if not known."""
         if not target.is_warming_up(now) or not target.warmth.known:
             return now
         if self._rate(target) > 0 and self._find(target, now).own:
@@ -97,21 +102,21 @@
         return target.warmth.warm_at
 
     def taken(self, target: TargetState) -> None:
-        """Note that a request was given to `target`."""
+        """Record that a request was assigned to `target`."""
         now = Deadline(trio.current_time())
         rate = self._rate(target)
         if rate > 0 and target.is_warming_up(now):
             self._find(target, now).free_at = Deadline(now + 1 / rate)
 
     def _free_at(self, target: TargetState, now: Deadline) -> Deadline:
-        """Return when the owner may send there next."""
+        """Return when the owner may next send to `target`."""
         quiet_until = Deadline(target.warmth.cold_since + QUIET_SECONDS)
         return max(self._find(target, now).free_at, quiet_until)
 
     def _rate(self, target: TargetState) -> float:
-        """Return the requests a second that one owner may send.
+        """Return the requests per second that one owner may send.
 
-        In any second it then sends at most one more than this.
+        At this rate it sends at most one request more in any one second.
         """
         limits = self.limits
         most = target.warm_up_rate * limits.cold_rate_ratio
@@ -129,10 +134,10 @@
         return owned
 
     def _owns(self, target: TargetState) -> bool:
-        """Return whether this host owns `target`; no host that isn't listed.
+        """Return whether this host owns `target`; False if it is not listed.
 
-        Hosts of the target's failure domain go first, as bytes between
-        failure domains are paid for.
+        Hosts of the target's failure domain are preferred, as traffic between
+        failure domains costs money.
         """
         listed = self.registered()
         near = [h for h in listed if h.failure_domain == target.failure_domain]
--- a/agatetack/balance/expected_wait.py
+++ b/agatetack/balance/expected_wait.py
@@ -1,8 +1,8 @@
-"""Choose the target where a request is expected to end first.
+"""Choose the target where a request is expected to finish first.
 
-The expected time at a target is its network time, its service time, and the
-time until a slot is free. What others have there is estimated from the last
-report, weighed by its age against the usual load.
+The expected time at a target is the sum of its network time, its service time,
+and the time until a slot is free. The load from other hosts is estimated from
+the last report and the usual load, weighted by the age of the report.
 """
 
 import math
@@ -15,37 +15,40 @@
 from agatetack.targets.state import TargetState
 
 NEAR_RATIO = 0.1
-"""Candidates within this share of the best cost count as equally good."""
+"""Ratio of the typical service time. Candidates whose cost is within this of
+the lowest count as equally good."""
 
 NORMAL_RATIO = 2.0
 """Up to this multiple of the typical service time a target counts as normal.
 
-Below it the differences that a host learns are mostly the luck of a few
-answers; following them makes the load of the targets uneven.
+Smaller differences that a host measures are mostly noise in a few answers;
+reacting to them makes the load of the targets uneven.
 """
 
 LOW_REPORT_SHARE = 0.1
-"""Share of the half-life that a report below the usual load keeps.
+"""Ratio of the normal half-life at which a report below the usual load decays.
 
-A long queue takes time to go away, but a free slot is taken by whichever
-host learns of it first.
+A long queue takes time to drain, but a free slot is taken by whichever host
+learns of it first.
 """
 
 MOST_WEIGHED = 12
-"""Candidates weighed for one choice, so that its cost does not grow."""
+"""Maximum number of candidates that are compared for one choice, which bounds
+the cost of the choice."""
 
 FORGOTTEN_HALF_LIVES = 8
-"""Half-lives after which a report counts for nothing."""
+"""Half-lives after which a report is ignored."""
 
 OUT_SHARE = 0.5
-"""Share of the time a request has been out that counts as service time."""
+"""Ratio of the time a request has been in flight that counts as service
+time."""
 
 
 class ExpectedWait(LearningPolicy):
-    """Choose by expected time to answer."""
+    """Chooses the target with the lowest expected time to an answer."""
 
     def __init__(self, settings: Settings, rng: random.Random):
-        """Draw among near equals from `rng`."""
+        """Choose among nearly equal candidates with `rng`."""
         super().__init__(settings, rng)
         self.half_life = settings.measure.report_half_life_seconds
         self.reuses = settings.measure.probe_reuses
@@ -53,7 +56,7 @@
     def choose(
         self, candidates: Sequence[TargetState], now: Deadline
     ) -> TargetState | None:
-        """Return a candidate among the near best, or one due for a trial."""
+        """Return one of the nearly best candidates, or one due for a trial."""
         if len(candidates) > MOST_WEIGHED:
             candidates = self._draw(candidates)
         typical = self.update_typical(candidates, now)
@@ -86,8 +89,8 @@
         if service < NORMAL_RATIO * typical:
             service = typical
         if learned.sent:
-            # A request that is out for long shows a slow target before any
-            # answer does.
+            # A request that has been in flight for long shows that the target
+            # is slow before an answer does.
             service = max(service, OUT_SHARE * learned.out_seconds(now))
         wait = expected_wait(
             target.in_flight, self.expected_others(target, now), target.slots
@@ -96,7 +99,7 @@
         return cost + self.reluctance(target, now) * typical
 
     def expected_others(self, target: TargetState, now: Deadline) -> float:
-        """Return how many requests others are thought to have there."""
+        """Return the estimated number of other hosts' requests there."""
         report = target.report
         usual = target.learned.others
         if report is None:
@@ -106,7 +109,7 @@
         if seen < usual:
             half_lives /= LOW_REPORT_SHARE
             if target.report_uses >= self.reuses:
-                # The free slot it told of has been used.
+                # The free slot that it reported has been used.
                 return usual
             if seen < 0:
                 seen = 0
@@ -121,11 +124,11 @@
         return estimate
 
     def expected_load(self, target: TargetState, now: Deadline) -> float:
-        """Return how many requests are thought to be at `target` now."""
+        """Return the estimated number of requests at `target` now."""
         return target.in_flight + self.expected_others(target, now)
 
     def _draw(self, candidates: Sequence[TargetState]) -> list[TargetState]:
-        # A stretch from a random start on costs less than a random sample.
+        # A contiguous run from a random start is cheaper than a random sample.
         start = self.rng.randrange(len(candidates))
         drawn = list(candidates[start : start + MOST_WEIGHED])
         drawn += candidates[: MOST_WEIGHED - len(drawn)]
@@ -135,11 +138,12 @@
 def expected_wait(own: int, others: float, slots: int) -> float:
     """Return the expected wait for a slot, in service times.
 
-    The others' number is taken as Poisson distributed around `others`, which
-    makes an uncertain target dearer than one that is known to have a slot.
+    The number of other hosts' requests is assumed to be Poisson distributed
+    with mean `others`, which makes a target of uncertain load costlier than one
+    that is known to have a free slot.
 
     Args:
-        own: Requests of this host there; exact.
+        own: Exact number of this host's requests there.
         others: Expected number of other hosts' requests there.
         slots: Requests that run at the same time.
     """
--- a/agatetack/balance/fleet_view.py
+++ b/agatetack/balance/fleet_view.py
@@ -1,4 +1,4 @@
-"""Choose by what all hosts have at each target and how fast it is now."""
+"""Choose by each target's load from all hosts and by its current speed."""
 
 import math
 import random
@@ -12,105 +12,115 @@
 from agatetack.targets.state import TargetState
 
 LEAST_TYPICAL = 0.1
-"""Least service time, in seconds, that costs are reckoned by.
+"""Minimum service time, in seconds, for the computation of costs.
 
-A host that has just started knows none. With the few ms that are taken for
-unknown elsewhere, the time to another failure domain outweighs all else, and
-every host sends to the one or two targets of its own: of six targets one had
-all requests of three hosts in the first second after a power cut.
+A host that has just started has measured no service time. With the default of a
+few ms that is used elsewhere, the network time to another failure domain
+outweighs all other costs, and every host sends to the one or two targets of its
+own failure domain: one of six targets got all requests of three hosts in the
+first second after a power cut.
 """
 
 NEAR_RATIO = 0.05
-"""Candidates within this share of the best cost count as equally good."""
+"""Ratio of the typical service time. Candidates whose cost is within this of
+the lowest count as equally good."""
 
 FULL_FACTOR = 1.5
-"""How much longer work takes on a target whose last slots are taken.
+"""Factor by which a request is expected to take longer on a target whose last
+slots are in use.
 
-Targets that slow down when they are nearly full take about 1.7 times as long;
-others do not, so that the figure lies between.
+Some targets slow down when they are nearly full and take about 1.7 times as
+long; others do not. The factor lies between the two.
 """
 
 UNSEEN_HALF_LIFE_SECONDS = 0.1
-"""After this time, what a target reported beyond what the hosts tell of
-themselves counts half."""
+"""Half-life of the requests that a target reported beyond those that the hosts
+reported as their own."""
 
 UNTOLD_HALF_LIFE_SECONDS = 1.0
-"""The same for a target of which only reports tell, as most of the hosts that
-send there are in other failure domains; each change is told within a quarter
-of this time, and the rest once in it."""
+"""The same for a target whose load is known only from its own reports, as most
+of the hosts that send to it are in other failure domains. Each change reaches
+this host within a quarter of this time, and everything else once within it."""
 
 SLOWNESS_SECONDS = 2.5
-"""After this time a report says nothing of how slow a target is now.
+"""Age from which a report no longer shows how slow a target is.
 
-Whoever probes a target tells each change at once and the rest once a second,
-so that a report without a successor holds on.
+The host that probes a target passes on changes at once and everything else once
+per second, so until then the latest report is still valid.
 """
 
 UNKNOWN_SLOWNESS = 1.5
-"""Slowness taken for a target without a report that is fresh enough: what
-targets with noisy neighbours show on the mean of their better moments."""
+"""Slowness assumed for a target without a recent report: the mean that targets
+with noisy neighbours show in their better periods."""
 
 
 CONNECT_SHARE = 0.25
-"""Share of a typical service time by which a target without an open
-connection is dearer.
+"""Additional cost of a target without an open connection, as a ratio of the
+typical service time.
 
-A host sends a few requests a second, so that without a preference each goes
-to a target of which the connection was closed in between: 1,030 connections
-for 1,200 requests.
+A host sends a few requests per second. Without this preference nearly every
+request goes to a target whose connection has meanwhile been closed: 1,030
+connections for 1,200 requests.
 """
 
 MOST_WAITING = 0
-"""Requests that may wait at a target, from all hosts together.
+"""Maximum number of requests that may wait at a target, from all hosts.
 
-A request that waits at a host goes to whichever target has room first, and
-before older ones if it can still be answered in time. One that waits at a
-target can do neither: with two there, 8 % of the answers came in time while
-one and a half times as many came as targets can do, and 31 % with none
-(simulated deployment of 14 hosts, two seconds of 160 requests each).
+A request that waits at a host goes to the first target with a free slot, and
+overtakes requests that can no longer be answered in time. A request that waits
+at a target can do neither. At one and a half times the rate that the targets
+can handle, 8 % of the answers came in time with two requests waiting at a
+target, and 31 % with none (14 hosts, two seconds of 160 requests each).
 """
 
 UNSHARED_SHARE = 0.25
-"""Share of a typical service time by which a target of another group of hosts
-is dearer. What its own group has there is not told, and few requests of this
-host go there, so that mostly a connection has to be opened: 312 hosts that sent
-1.5 requests a second each to any of 241 targets opened 93 connections for 100
-requests (22 s of a calm day)."""
+"""Additional cost of a target of another group of hosts, as a ratio of the
+typical service time.
+
+The load from its own group is not reported to this host. As few requests of
+this host go there, a connection usually has to be opened: 312 hosts that each
+sent 1.5 requests per second to any of 241 targets opened 93 connections for 100
+requests, within 22 s of low load.
+"""
 
 SPARE_SLOWNESS = 2.0
-"""Slowness up to which a target is worth a second attempt."""
+"""Slowness up to which a target may get a second attempt."""
 
 FAILED_COST = 6.0
-"""Typical service times that an attempt which fails costs: what it took, and
-another one, if that is allowed at all."""
+"""Cost of a failed attempt, in typical service times: the time it took, and
+another attempt, if one is allowed at all."""
 
 FAILING_WEIGHT = 0.3
-"""Weight of one attempt in the share that fails; a host sends a target one in
-some seconds, so that one says much."""
+"""Weight of one attempt in the moving average of the failure rate. It is high
+because a host sends a target only one request every few seconds."""
 
 FAILING_HALF_LIFE_SECONDS = 3.0
-"""After this time a target that failed is thought half as bad, so that it is
-tried again."""
+"""Half-life of a target's failure rate, so that the target is tried again."""
 
 LARGE_BYTES = 15_000
-"""Size of answers from which on they are kept in the failure domain as far as
-possible; the preference for it grows with the size up to there. For 5 KB it is
-0.4 of a service time, less than the last free slot of a target costs."""
+"""Answer size from which the preference for targets of the own failure domain
+has its full strength.
+
+Below, it grows with the size. For 5 KB it is 0.4 of a service time, which is
+less than the cost of taking the last free slot of a target.
+"""
 
 CARRY_SHARE = 1.2
-"""Typical service times by which a target of another failure domain is dearer
-for large answers, as bytes between failure domains are paid for: 90 KB cost as
-much there as half a request earns. It is less than the wait at a full target,
-so that no request waits for one of its own failure domain while others are
-free: at 2.5, answers in time fell from 88 % to 69 % on a day of high load.
+"""Additional cost of a target of another failure domain for large answers, in
+typical service times.
+
+Traffic between failure domains costs money: 90 KB cost half as much as one
+request earns. The value is less than the wait at a full target, so that no
+request waits for a target of its own failure domain while others are free: at
+2.5, the answers in time fell from 88 % to 69 % under high load.
 """
 
 
 class FleetView(LearningPolicy):
-    """Choose the target where the request is expected to end first.
+    """Chooses the target where the request is expected to finish first.
 
     Attributes:
-        room: How many requests targets should have.
+        room: Decides how many concurrent requests each target should have.
     """
 
     def __init__(
@@ -119,17 +129,18 @@
         rng: random.Random,
         room: SlotRoom | None = None,
     ):
-        """Fill targets as `room` says; up to where they do most if None."""
+        """Fill targets as `room` says; for the most throughput if None."""
         super().__init__(settings, rng)
         self.room = room or LearnedKnee()
 
     def choose(
         self, candidates: Sequence[TargetState], now: Deadline
     ) -> TargetState | None:
-        """Return a candidate among the near best, or one due for a trial.
+        """Return one of the nearly best candidates, or one due for a trial.
 
-        None if all of the near best are full: a request that waits here goes
-        to whichever has room first, which is sooner than to one that is slow.
+        None if all of the nearly best are full: a request that waits at this
+        host goes to the first target with a free slot, and is answered sooner
+        than by a slow target.
         """
         typical = max(self.update_typical(candidates, now), LEAST_TYPICAL)
         limit = typical * self.settings.balance.slow_ratio
@@ -156,8 +167,8 @@
     ) -> Sequence[TargetState]:
         """Return the candidates with a free slot that are not slow now.
 
-        A second attempt anywhere else makes an overload worse and is hardly
-        sooner than the first.
+        A second attempt at any other target worsens an overload and is hardly
+        answered sooner than the first.
         """
         return [
             target
@@ -174,7 +185,7 @@
         typical: float,
         limit: float,
     ) -> float:
-        """Return a target's cost; infinite if it is left for now."""
+        """Return a target's cost; infinite if it is avoided for now."""
         learned = target.learned
         if learned.peer_at > learned.peer_seen:
             self.take_peer_word(target, limit, now)
@@ -210,7 +221,7 @@
         return cost + FAILED_COST * self.failing(target, now) * typical
 
     def failing(self, target: TargetState, now: Deadline) -> float:
-        """Return the share of attempts that fail there, forgotten in time."""
+        """Return the target's failure rate, which decays with time."""
         learned = target.learned
         half_lives = (now - learned.failing_at) / FAILING_HALF_LIFE_SECONDS
         return learned.failing * 0.5 ** min(half_lives, 60.0)
@@ -218,18 +229,18 @@
     def answered(
         self, target: TargetState, latency: float, waiting: float, now: Deadline
     ) -> None:
-        """Learn from an answer."""
+        """Update the estimates from an answer."""
         super().answered(target, latency, waiting, now)
         self.room.answered(target, latency, waiting, now)
         self._note_end(target, 0.0, now)
 
     def shed(self, target: TargetState, now: Deadline) -> None:
-        """Learn that `target` refused a request for its load."""
+        """Record that `target` refused a request because of its load."""
         super().shed(target, now)
         self._note_end(target, 1.0, now)
 
     def failed(self, target: TargetState, now: Deadline) -> None:
-        """Learn that an attempt at `target` failed."""
+        """Record that an attempt at `target` failed."""
         super().failed(target, now)
         self._note_end(target, 1.0, now)
 
@@ -242,14 +253,14 @@
         learned.failing_at = now
 
     def slowness(self, target: TargetState, now: Deadline) -> float:
-        """Return how many times longer than usual work takes there now."""
+        """Return by which factor requests take longer there than usual."""
         report = target.report
         if report is None or now - report.at > SLOWNESS_SECONDS:
             return UNKNOWN_SLOWNESS
         return max(USUAL_SLOWNESS, report.slowness)
 
     def expected_load(self, target: TargetState, now: Deadline) -> float:
-        """Return how many requests are thought to be at `target` now."""
+        """Return the estimated number of requests at `target` now."""
         known = target.in_flight + target.peer_in_flight
         report = target.report
         if report is None:
--- a/agatetack/balance/learned.py
+++ b/agatetack/balance/learned.py
@@ -1,35 +1,36 @@
-"""Hold what a host learns of one target from its answers and reports."""
+"""Hold a host's estimates of one target, from its answers and reports."""
 
 import dataclasses
 
 PEER_SECONDS = 1.0
-"""Time after which what other hosts told is forgotten."""
+"""Time after which the measurements of other hosts are discarded."""
 
 PEER_WEIGHT = 0.12
-"""Weight of one other host's word, so that it takes several."""
+"""Weight of one measurement of another host in the moving average, low enough
+that one alone changes little."""
 
 
 @dataclasses.dataclass(slots=True)
 class LearnedLoad:
-    """Moving estimates of one target, kept by this host.
+    """Moving averages and backoff state of one target, kept by this host.
 
     Attributes:
         service_seconds: Time one request takes on a free slot, or None.
-        peer_service_seconds: The same by what other hosts lately told.
+        peer_service_seconds: The same, as recently measured by other hosts.
         peer_at: When the last of them measured it.
-        peer_seen: The last `peer_at` that was weighed.
-        adopted: Whether the service time is a peer's and not learned here.
-        slow: Whether this host found it slow.
+        peer_seen: The last `peer_at` that was taken into account.
+        adopted: Whether the service time comes from other hosts.
+        slow: Whether the target is considered slow.
         others: Usual number of other hosts' requests there.
-        trust: How well reports agreed with latency, from 0 to 1.
+        trust: How well reports agreed with the latency, from 0 to 1.
         limit: The adaptive limit before rounding.
-        shed_until: No work is sent before this time after a shed answer.
-        shed_count: Shed answers in a row.
-        trial_at: When a target left for slowness may be tried again.
-        trial_count: Trials in a row that found it still slow.
-        failing: Share of attempts that failed there, as of `failing_at`.
-        failing_at: When the last one ended.
-        sent: When each request still there was sent, oldest first.
+        shed_until: When requests may be sent again after a shed answer.
+        shed_count: Consecutive shed answers.
+        trial_at: When a target that is avoided may be tried again.
+        trial_count: Consecutive trials that found it still slow.
+        failing: Ratio of attempts that failed there, as of `failing_at`.
+        failing_at: When the last attempt ended.
+        sent: When each request in flight was sent, oldest first.
     """
 
     service_seconds: float | None = None
@@ -50,7 +51,7 @@
     sent: dict[int, float] = dataclasses.field(default_factory=dict)
 
     def note_peer(self, service_seconds: float, at: float) -> None:
-        """Take another host's service time; one word alone moves little."""
+        """Add a service time that another host measured."""
         base = self.peer_service_seconds
         if at - self.peer_at > PEER_SECONDS:
             base = self.service_seconds or service_seconds
@@ -59,7 +60,7 @@
         self.peer_at = at
 
     def out_seconds(self, now: float) -> float:
-        """Return how long the oldest request still there has been out."""
+        """Return how long the oldest request has been in flight."""
         for started in self.sent.values():
             return now - started
         return 0.0
--- a/agatetack/balance/learning.py
+++ b/agatetack/balance/learning.py
@@ -1,4 +1,4 @@
-"""Learn how fast targets are and when to leave them or try them again."""
+"""Estimate how fast targets are, and when to avoid or retry them."""
 
 import dataclasses
 import random
@@ -10,70 +10,75 @@
 from agatetack.targets.state import TargetState, TargetStatus
 
 SERVICE_WEIGHT = 0.2
-"""Weight of one answer in the moving service time."""
+"""Weight of one answer in the moving average of the service time."""
 
 OTHERS_WEIGHT = 0.1
-"""Weight of one report in the usual load of others."""
+"""Weight of one report in the moving average of other hosts' load."""
 
 UNKNOWN_SERVICE_SECONDS = 0.005
-"""Service time taken for a service none of whose targets has answered."""
+"""Service time assumed for a service of which no target has answered yet."""
 
 TYPICAL_SECONDS = 0.02
-"""How long a typical service time is used before it is worked out anew."""
+"""How long a typical service time is used before it is recomputed."""
 
 DISAGREE_RATIO = 2.5
-"""An answer this many times later than expected speaks against reports."""
+"""A service time above this multiple of the typical one contradicts the
+target's reports."""
 
 DISTRUST_FACTOR = 0.8
-"""What such an answer leaves of the trust in a target's reports."""
+"""Factor by which such an answer reduces the trust in a target's reports."""
 
 TRUST_WEIGHT = 0.02
-"""Weight of an answer that came as expected in that trust."""
+"""Weight in that trust of an answer that agrees with the reports."""
 
 TELL_RATIO = 2.2
-"""Peers are told of a target this many times over the limit.
+"""A target is reported to the peers as slow from this multiple of the limit for
+slow targets on.
 
-One host's few answers may be bad luck or a short disturbance; leaving a
-target on all hosts costs its whole capacity.
+A few slow answers at one host may be chance or a short disturbance, and if all
+hosts avoid a target, its whole capacity is lost.
 """
 
 FAILURES_TO_LEAVE = 2
-"""Failed attempts in a row after which a target is left like a slow one."""
+"""Consecutive failed attempts after which a target is avoided like a slow
+one."""
 
 SHED_SECONDS = 0.01
-"""Time without new work after a target's first shed answer."""
+"""Time without new requests after a target's first shed answer."""
 
 SHED_GROWTH = 4
-"""Factor of that time at each repeat without an answer between."""
+"""Factor by which that time grows at each further shed answer, until a request
+is answered."""
 
 MAX_SHED_GROWTHS = 4
-"""How often it grows for a target that sheds everything."""
+"""How often it grows at most."""
 
 MAX_DOUBLINGS = 4
-"""How often the wait before a trial doubles."""
+"""How often the wait before a trial doubles at most."""
 
 COLD_COST = 10
-"""Typical service times by which a cold target is dearer."""
+"""Additional cost of a cold target, in typical service times."""
 
 SHED_COST = 40
-"""Typical service times by which a target that shed is dearer.
+"""Additional cost of a target that shed a request, in typical service times.
 
-More than a cold one, or a host that just started, to which all targets are
-cold, would go on asking those that refuse.
+It is higher than that of a cold target. Otherwise a host that has just started,
+to which all targets are cold, would keep sending to those that shed.
 """
 
 LEAST_RAMP = 0.05
-"""Share of its choices that a target gets at its very start."""
+"""Probability that a target which has just started is not treated as cold in
+one choice. It grows while the target warms up."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Typical:
-    """The middle of what a service's targets show.
+    """Medians over the targets of a service.
 
     Attributes:
-        seconds: The time.
-        others: The middle of the usual numbers of others' requests.
-        valid_until: When it is worked out anew.
+        seconds: Median of the service times.
+        others: Median of the usual numbers of other hosts' requests.
+        valid_until: When the medians are recomputed.
     """
 
     seconds: float
@@ -82,15 +87,15 @@
 
 
 class LearningPolicy(Policy):
-    """Learn targets' service times and when to leave and to try them.
+    """Estimates targets' service times, and when to avoid and retry them.
 
     Attributes:
-        typicals: What is typical of each service.
-        changed: Targets found slow, or no longer so, to tell peers.
+        typicals: The medians of each service.
+        changed: Targets that became slow or recovered, to report to peers.
     """
 
     def __init__(self, settings: Settings, rng: random.Random):
-        """Spread trials with `rng`."""
+        """Add jitter to the times of trials with `rng`."""
         self.settings = settings
         self.rng = rng
         self.domain = settings.host.failure_domain
@@ -100,16 +105,17 @@
         self.changed: list[TargetState] = []
 
     def network(self, target: TargetState) -> float:
-        """Return the time there and back, in seconds."""
+        """Return the network round-trip time to `target`, in seconds."""
         if target.failure_domain == self.domain:
             return self.near_seconds
         return self.far_seconds
 
     def reluctance(self, target: TargetState, now: Deadline) -> float:
-        """Return by how many typical service times a target is dearer now.
+        """Return a target's additional cost now, in typical service times.
 
-        A target that has just started gets its share by and by, and one that
-        shed is left alone for a while, and until a trial was answered.
+        The load of a target that has just started is ramped up. A target that
+        shed a request gets none for a while, and then only one at a time until
+        one is answered.
         """
         learned = target.learned
         times = 0.0
@@ -131,12 +137,12 @@
         costs: Sequence[float],
         slack: float,
     ) -> TargetState:
-        """Return one of the candidates whose cost is near the least.
+        """Return one of the candidates whose cost is near the lowest.
 
         Args:
             candidates: The targets.
-            costs: What each costs.
-            slack: How far above the least still counts as equally good.
+            costs: The cost of each candidate.
+            slack: How far above the lowest a cost still counts as equal.
         """
         near = min(costs) + slack
         ties = [
@@ -149,7 +155,7 @@
     def answered(
         self, target: TargetState, latency: float, waiting: float, now: Deadline
     ) -> None:
-        """Learn the service time and the usual load of others."""
+        """Update the service time and the usual load of other hosts."""
         learned = target.learned
         ahead = max(0.0, waiting + 1 - target.slots) / target.slots
         service = max(0.0, latency - self.network(target)) / (1 + ahead)
@@ -158,7 +164,8 @@
         if learned.service_seconds is None:
             learned.service_seconds = service
         elif service < limit < learned.service_seconds:
-            # A trial found it recovered; what it was like before is over.
+            # A trial found that the target has recovered, so the old estimate
+            # is discarded.
             learned.service_seconds = service
         else:
             step = SERVICE_WEIGHT * (service - learned.service_seconds)
@@ -180,10 +187,11 @@
             self.changed.append(target)
 
     def shed(self, target: TargetState, now: Deadline) -> None:
-        """Send nothing there for a short time, longer at each repeat."""
+        """Pause the target for a short time, longer at each repeat."""
         learned = target.learned
         if now < learned.shed_until:
-            # It was sent before the pause, so it is no repeat.
+            # The request was sent before the pause, so this does not count as
+            # a repeat.
             return
         growths = min(learned.shed_count, MAX_SHED_GROWTHS)
         pause = SHED_SECONDS * SHED_GROWTH**growths
@@ -191,12 +199,12 @@
         learned.shed_count += 1
 
     def failed(self, target: TargetState, now: Deadline) -> None:
-        """Leave a target whose attempts fail, until its trial."""
+        """Avoid a target whose attempts fail until its next trial."""
         if target.failures >= FAILURES_TO_LEAVE:
             self.postpone_trial(target, now)
 
     def postpone_trial(self, target: TargetState, now: Deadline) -> None:
-        """Put off the next trial, longer at each repeat."""
+        """Postpone the next trial, by longer at each repeat."""
         learned = target.learned
         pause = self.settings.balance.slow_retry_seconds
         pause *= 2 ** min(learned.trial_count, MAX_DOUBLINGS)
@@ -206,7 +214,11 @@
     def take_peer_word(
         self, target: TargetState, limit: float, now: Deadline
     ) -> None:
-        """Weigh what peers told of `target`, unless an answer is newer."""
+        """Apply the peers' service time of `target` unless an answer is newer.
+
+        A target that they found slow is avoided; if it has recovered, it is
+        tried again.
+        """
         learned = target.learned
         learned.peer_seen = learned.peer_at
         answered = target.last_answer_at
@@ -214,13 +226,15 @@
             return
         told = learned.peer_service_seconds
         if told > limit:
-            # One host's trial serves all, so it postpones this host's.
+            # A trial by one host serves all hosts, so it postpones the one of
+            # this host.
             learned.service_seconds = max(learned.service_seconds or 0, told)
             learned.slow = True
             learned.adopted = True
             self.postpone_trial(target, now)
         elif learned.adopted:
-            # Nothing of its own is known of it now, so it counts as typical.
+            # This host has no measurement of its own for the target, so it is
+            # treated as typical.
             learned.service_seconds = None
             learned.slow = False
             learned.adopted = False
@@ -229,12 +243,12 @@
             learned.trial_at = now
 
     def typical(self, service: ServiceId) -> float:
-        """Return the middle service time of a service's targets."""
+        """Return the median service time of a service's targets."""
         known = self.typicals.get(service)
         return UNKNOWN_SERVICE_SECONDS if known is None else known.seconds
 
     def take_changed(self) -> Sequence[TargetState]:
-        """Return targets found slow, or no longer so, since the last call."""
+        """Return targets that became slow or recovered since the last call."""
         if not self.changed:
             return ()
         changed = self.changed
@@ -245,8 +259,8 @@
         return self.typical(service) * self.settings.balance.slow_ratio
 
     def _weigh_report(self, target: TargetState, service: float) -> None:
-        # An answer far later than the reports let expect speaks against
-        # them: the target hides a queue.
+        # An answer that took much longer than expected from the reports
+        # contradicts them: the target has a queue that it does not report.
         learned = target.learned
         if service > DISAGREE_RATIO * self.typical(target.service):
             learned.trust *= DISTRUST_FACTOR
@@ -256,7 +270,7 @@
     def update_typical(
         self, candidates: Sequence[TargetState], now: Deadline
     ) -> float:
-        """Return the middle service time, worked out anew now and then."""
+        """Return the median service time, recomputed from time to time."""
         service = candidates[0].service
         known = self.typicals.get(service)
         if known is not None and now < known.valid_until:
--- a/agatetack/balance/policies.py
+++ b/agatetack/balance/policies.py
@@ -1,4 +1,4 @@
-"""Choose targets in the usual ways, as baselines, and make a policy by name."""
+"""Implement common policies as baselines, and create a policy by name."""
 
 import random
 from collections.abc import Sequence
@@ -12,7 +12,7 @@
 
 
 class Random(Policy):
-    """Choose any target."""
+    """Chooses a random target."""
 
     def __init__(self, rng: random.Random):
         """Draw from `rng`."""
@@ -26,7 +26,7 @@
 
 
 class RoundRobin(Policy):
-    """Choose the target that this host chose longest ago."""
+    """Chooses the target that this host chose longest ago."""
 
     def choose(
         self, candidates: Sequence[TargetState], now: Deadline
@@ -36,7 +36,7 @@
 
 
 class LeastInFlight(Policy):
-    """Choose the target with the fewest requests of this host."""
+    """Chooses the target with the fewest requests of this host in flight."""
 
     def __init__(self, rng: random.Random):
         """Break ties with `rng`."""
@@ -52,7 +52,7 @@
 
 
 class PowerOfTwo(Policy):
-    """Choose the less loaded of two random targets by their last reports."""
+    """Chooses the less loaded of two random targets by their last reports."""
 
     def __init__(self, rng: random.Random):
         """Draw from `rng`."""
@@ -75,8 +75,9 @@
 
     Args:
         settings: The host's settings.
-        seed: Of the policy's random draws; differs from host to host, so
-            that hosts with the same view do not choose alike.
+        seed: Seed of the policy's random choices. It differs from host to
+            host, so that hosts with the same state do not all choose the same
+            target.
     """
     rng = random.Random(seed)
     name = settings.balance.policy
--- a/agatetack/balance/policy.py
+++ b/agatetack/balance/policy.py
@@ -1,4 +1,4 @@
-"""Define how a target is chosen."""
+"""Define the interface of the policies that choose targets."""
 
 import abc
 from collections.abc import Sequence
@@ -25,7 +25,7 @@
     def spare(
         self, candidates: Sequence[TargetState], now: Deadline
     ) -> Sequence[TargetState]:
-        """Return the candidates that may get a second attempt.
+        """Return the candidates that may get a second, hedged attempt.
 
         Args:
             candidates: Targets that may take a request now.
@@ -38,32 +38,32 @@
         return True
 
     def sent(self, target: TargetState, now: Deadline) -> None:  # noqa: B027
-        """Note that an attempt goes to `target`, which counts it already."""
+        """Record that an attempt goes to `target`, which already counts it."""
 
     def answered(  # noqa: B027
         self, target: TargetState, latency: float, waiting: float, now: Deadline
     ) -> None:
-        """Learn from one answer.
+        """Update the estimates from one answer.
 
         Args:
-            target: Who answered.
+            target: The target that answered.
             latency: Seconds from the attempt's start to the answer's headers.
-            waiting: How many requests were expected ahead of it at its start.
+            waiting: Requests that were expected ahead of it when it started.
             now: The time of the answer.
         """
 
     def shed(self, target: TargetState, now: Deadline) -> None:  # noqa: B027
-        """Learn that `target` refused a request for its load."""
+        """Record that `target` refused a request because of its load."""
 
     def failed(self, target: TargetState, now: Deadline) -> None:  # noqa: B027
-        """Learn that an attempt at `target` failed."""
+        """Record that an attempt at `target` failed."""
 
     def take_changed(self) -> Sequence[TargetState]:
-        """Return targets found slow, or no longer so, since the last call."""
+        """Return targets that became slow or recovered since the last call."""
         return ()
 
     def expected_load(self, target: TargetState, now: Deadline) -> float:
-        """Return how many requests are thought to be at `target` now."""
+        """Return the estimated number of requests at `target` now."""
         if target.report is None:
             return float(target.in_flight)
         return float(max(target.in_flight, target.report.in_flight))
--- a/agatetack/balance/pushback_share.py
+++ b/agatetack/balance/pushback_share.py
@@ -1,4 +1,4 @@
-"""Leave targets alone that asked this host to stay away."""
+"""Stop sending to targets for as long as they asked this host to."""
 
 import trio
 
@@ -9,14 +9,14 @@
 
 
 class PushbackShare(TargetShare):
-    """Lets a host send to a target once the time is over that it asked for.
+    """Allows requests to a target once the pushback delay it asked for is over.
 
-    The target may report next to no load all the while, as it runs nothing,
-    so load alone would choose it first.
+    Until then the target may run nothing and report almost no load, so a choice
+    by load alone would prefer it.
     """
 
     def __init__(self, metrics: Metrics):
-        """Count in `metrics` what is held back."""
+        """Count in `metrics` the targets that were passed over."""
         self.held = metrics.counter(
             "agatetack_target_pushback_held_total",
             "Choices that passed over a target as it had asked, by service.",
@@ -30,7 +30,7 @@
         return False
 
     def opens_at(self, target: TargetState, now: Deadline) -> Deadline:
-        """Return when it may at the soonest."""
+        """Return the earliest time it may send."""
         return max(now, target.pushback_until)
 
     def may_probe(self, target: TargetState) -> bool:
--- a/agatetack/balance/rate_share.py
+++ b/agatetack/balance/rate_share.py
@@ -1,13 +1,14 @@
-"""Keep a whole fleet within the rate that a target says it takes.
+"""Enforce the rate limit that a target has announced, across a whole fleet.
 
-A target in need names the requests a second that it takes from all hosts
-together. Hosts can't count on hearing each other, so each has a quota by a list
-that all of them read: the requests that the target takes in a window of some
-seconds are split among the hosts in an order that all compute alike. A host
-without a quota sends nothing there. Hosts whose lists differ add one request a
-window each, for which the bound that targets are promised has room.
+An overloaded target announces how many requests per second it accepts from all
+hosts together. Hosts cannot rely on messages from each other, so each computes
+its quota from a host list that all of them read: the requests that the target
+accepts in a window of some seconds are split among the hosts in an order that
+is the same on each host. A host without a quota sends nothing to the target. A
+host whose list differs adds one request per window, which the bound that
+targets are promised allows for.
 
-Probes count at the target like requests, and so come out of the same quota.
+Probes count at the target like requests, so they use the same quota.
 """
 
 import dataclasses
@@ -29,37 +30,39 @@
 from agatetack.targets.state import TargetState
 
 WINDOW_SECONDS = 4.5
-"""Shortest window. Targets count what they get over some 4 s: in any such time
-a host that sends once in a window sends once."""
+"""Minimum length of a window. Targets count requests over about 4 s; as windows
+are longer, a host that sends once per window sends at most once in that
+time."""
 
 REFRESH_SECONDS = 0.3
-"""How often this host's quota is worked out anew by the list of hosts."""
+"""How often this host's quota is recomputed from the host list."""
 
 QUIET_SECONDS = 5.0
-"""A target of which nothing was heard for as long gets the next request of a
-host that may send there, and a probe if there is none."""
+"""Time without updates of a target's limit after which the target gets the next
+request of a host that may send to it, or a probe if there is no request."""
 
 SILENT_SECONDS = 10.0
-"""A host without a quota that has heard nothing of a target for as long may try
-it, as no host may be left that tells it of the limit's end."""
+"""Time without updates of a target's limit after which a host without a quota
+may try the target, as there may be no other host left to report that the limit
+has ended."""
 
 Registered = Callable[[], Sequence[ListedHost]]
-"""Returns the hosts that are registered, this one included if it is."""
+"""Returns the registered hosts, including this one if it is registered."""
 
 decisions = DecisionLog("balance")
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Quota:
-    """This host's quota of what a target takes.
+    """This host's quota of the requests that a target accepts.
 
     Attributes:
-        window: Seconds in which the target takes `requests`, from all hosts.
-        requests: Requests of one window.
-        own: How many of them are this host's.
-        place: This host's place in the order of hosts, from 0; None if it is
-            not one of them.
-        hosts: How many hosts there are.
+        window: Length of a window, in seconds.
+        requests: Requests that the target accepts per window, from all hosts.
+        own: How many of them this host may send.
+        place: This host's position in the order of hosts, from 0; None if it
+            is not one of them.
+        hosts: Number of hosts.
     """
 
     window: float
@@ -72,18 +75,19 @@
     def interval(self) -> float:
         """Return the seconds between two requests of this host.
 
-        One without a quota goes by the trials of all that have none.
+        For a host without a quota it is the time between two of its trials,
+        since one host may try the target in each window.
         """
         return self.window / self.own if self.own else self.window * self.hosts
 
 
 def split_rate(rate: float, place: int | None, hosts: int) -> Quota:
-    """Return the quota of the host at `place` of what a target takes.
+    """Return the quota of the host at `place`.
 
     Args:
-        rate: Requests a second that the target takes from all hosts.
-        place: The host's place in the order of hosts; None if it has none.
-        hosts: How many hosts there are.
+        rate: Requests per second that the target accepts from all hosts.
+        place: The host's position in the order of hosts; None if it has none.
+        hosts: Number of hosts.
     """
     requests = math.ceil(rate * WINDOW_SECONDS)
     own = 0
@@ -94,16 +98,16 @@
 
 @dataclasses.dataclass(slots=True)
 class RatedTarget:
-    """A target that limits its rate, as this host sees it.
+    """This host's state for a target that limits its rate.
 
     Attributes:
         quota: This host's quota.
-        until: When it is looked whether that has changed.
-        rate: The rate that it is a quota of.
-        sharers: The hosts among which it was dealt out.
+        until: When to check whether the quota has changed.
+        rate: The rate from which the quota was computed.
+        sharers: The hosts that the rate was divided among.
         since: Since when the target limits its rate.
-        sent_at: When this host last sent there.
-        opens_at: When it may for the first time by its quota.
+        sent_at: When this host last sent to the target.
+        opens_at: The earliest time at which the quota allows a request.
     """
 
     quota: Quota
@@ -116,11 +120,12 @@
 
 
 class RateShare(TargetShare):
-    """This host's quota of the rates that targets name.
+    """This host's share of the rate limits that targets announced.
 
     Attributes:
-        targets: The targets that were asked for, by start of a process.
-        started_at: When this host started; what it sent before is not known.
+        targets: The targets that were looked up, by process.
+        started_at: When this host started; it does not know what it sent
+            before.
     """
 
     def __init__(
@@ -131,14 +136,14 @@
         exchange: Exchange,
         metrics: Metrics,
     ):
-        """Share rates with the hosts that `registered` returns.
+        """Divide rates among the hosts that `registered` returns.
 
         Args:
             settings: The host's settings.
             registry: The targets.
             registered: Returns the hosts that are registered.
             exchange: The other hosts.
-            metrics: Where what is held back is counted.
+            metrics: Where targets that were passed over are counted.
         """
         self.own = HostId(settings.host.id)
         self.registry = registry
@@ -162,7 +167,7 @@
         return False
 
     def opens_at(self, target: TargetState, now: Deadline) -> Deadline:
-        """Return when it may at the soonest."""
+        """Return the earliest time it may send."""
         if target.rate_limit.rate is None:
             return now
         return max(now, self._free_at(target, now))
@@ -180,15 +185,15 @@
         return 1 + (until - opens_at) // interval
 
     def any_opens_at(self, target: TargetState, now: Deadline) -> Deadline:
-        """Return when some host may, on the mean."""
+        """Return when any host may send, on average."""
         rate = target.rate_limit.rate
         return now if rate is None else Deadline(now + 1 / rate)
 
     def is_due(self, target: TargetState, now: Deadline) -> bool:
-        """Return whether only a request can show that the limit is over.
+        """Return whether a request is needed to see if the limit has ended.
 
-        A target of which nothing is heard looks worse than others, and would
-        not be chosen any more.
+        A target without recent reports seems worse than others and would not be
+        chosen again otherwise.
         """
         limit = target.rate_limit
         return (
@@ -196,20 +201,21 @@
         )
 
     def taken(self, target: TargetState) -> None:
-        """Note that a request was given to `target`."""
+        """Record that a request was assigned to `target`."""
         if target.rate_limit.rate is not None:
             now = Deadline(trio.current_time())
             self._find(target, now).sent_at = now
 
     def probed(self, target: TargetState) -> None:
-        """Note that a probe is sent, which the target counts as a request."""
+        """Record that a probe is sent, which the target counts as a request."""
         self.taken(target)
 
     def may_probe(self, target: TargetState) -> bool:
         """Return whether this host may probe `target`.
 
-        Answers to requests tell more, so that a probe must not take the place
-        of one: it waits until no request has come for a whole interval.
+        Answers to requests are more informative, so a probe must not use the
+        quota of a request: it is sent only if the host could have sent a
+        request for a whole interval and did not.
         """
         if target.rate_limit.rate is None:
             return True
@@ -247,7 +253,8 @@
         if quota.own:
             if target.last_chosen_at is not None:
                 sent_at = target.last_chosen_at
-            # All hosts learn of the rate at the same moment.
+            # All hosts learn of the rate at the same moment, so their first
+            # requests are staggered.
             stagger = quota.interval * quota.place / quota.hosts
             not_known_until = self.started_at + quota.interval
             opens_at = Deadline(max(now + stagger, not_known_until))
@@ -274,15 +281,16 @@
         quota = self._quota(target, sharers)
         rated.rate, rated.sharers = rate, sharers
         if quota.own and not rated.quota.own:
-            # Whoever had this quota until now may have just used it.
+            # The host that had this quota before may have just used it.
             rated.opens_at = Deadline(now + quota.interval)
         rated.quota = quota
         self._tell(target, quota)
 
     def _sharers(self, target: TargetState) -> Sequence[HostId]:
-        """Return the hosts among which the target's rate is dealt out.
+        """Return the hosts that the target's rate is divided among.
 
-        In a fleet of groups they are those that keep connections with it.
+        In a fleet of groups they are the hosts of the group that keeps
+        connections to the target.
         """
         group = self.exchange.group_hosts()
         if group and self._is_of_group(target):
@@ -299,7 +307,7 @@
     def _place(
         self, hosts: Sequence[HostId], target: TargetState
     ) -> int | None:
-        """Return this host's place among `hosts`, or None if it has none."""
+        """Return this host's position among `hosts`, or None."""
         if self.own not in hosts:
             return None
         own = rank(self.own, target.id)
@@ -328,8 +336,8 @@
 def _trial_at(quota: Quota, limit: RateLimit) -> Deadline:
     """Return when a host without a quota may try the target.
 
-    One host may in each window, so that they add one request to those of the
-    others.
+    In each window one of these hosts may, so together they add one request per
+    window to those of the hosts with a quota.
     """
     wait = SILENT_SECONDS + (quota.place + 1) * quota.window
     return Deadline(limit.reported_at + wait)
--- a/agatetack/balance/room.py
+++ b/agatetack/balance/room.py
@@ -1,4 +1,4 @@
-"""Say how many requests a target should have at the same time."""
+"""Estimate how many concurrent requests a target should have."""
 
 import abc
 import dataclasses
@@ -10,45 +10,49 @@
 from agatetack.targets.state import TargetState
 
 KNEE_SHARE = 0.8
-"""Share of its slots up to which a target runs requests at full speed.
+"""Ratio of its slots, called the knee, up to which a target runs requests at
+full speed.
 
-Those that slow down when they are nearly full do so above it. Of two or three
-slots it is the last one.
+Targets that slow down when they are nearly full do so above it. With two or
+three slots, only the last slot is above it.
 """
 
 FACTORS = {1.0: 0.42, 1.2: 0.05, 1.35: 0.05, 1.7: 0.42, 2.0: 0.03, 2.6: 0.03}
-"""How much longer a request may take above that, and how likely that is before
-any was measured: half of the services slow down to 1.7 times the time, nearly
-all others not at all."""
+"""Factors by which a request may take longer above the knee, with their prior
+probabilities. In half of the services requests take 1.7 times as long, in
+nearly all others no longer at all."""
 
 TIME_SPREAD = 0.33
 """Standard deviation of the logarithm of a request's time."""
 
 LEAST_ANSWERS = 5
-"""How many at full speed there must be to compare others with."""
+"""Minimum number of answers at full speed before others are compared with
+them."""
 
 OUTLIER_SPREADS = 2.0
-"""Spreads from which on a time says nothing of slots: one that waited for a
-slow machine is five times as long."""
+"""Number of standard deviations from which a time is treated as an outlier. A
+request on a slow machine takes five times as long, which says nothing about the
+slots."""
 
 USUAL_ANSWERS = 32
-"""Latest requests at full speed that others are compared with."""
+"""Number of latest answers at full speed that others are compared with."""
 
 FORGET_SECONDS = 60.0
-"""After this time without a request above it, what was learned counts half, so
-that a service whose targets became better is tried again."""
+"""Half-life of the estimate while no request runs above the knee, so that the
+last slots are tried again if the targets of a service became better."""
 
 
 EVEN_ODDS = 0.5
-"""How likely the last slots must add nothing to be left empty."""
+"""The last slots are left empty if the probability that they add no throughput
+is above this."""
 
 DECIDED_SECONDS = 1.0
-"""How long a decision holds if no answer comes, as it is asked for each target
-at each choice."""
+"""How long a decision is cached if no answer arrives, as it is needed for each
+target at each choice."""
 
 
 class SlotRoom(abc.ABC):
-    """A way to say how many requests targets should have."""
+    """Determines how many concurrent requests targets should have."""
 
     @abc.abstractmethod
     def most(self, target: TargetState, now: Deadline) -> int:
@@ -57,13 +61,13 @@
     def answered(  # noqa: B027
         self, target: TargetState, seconds: float, ahead: float, now: Deadline
     ) -> None:
-        """Learn from an answer.
+        """Update the estimate from an answer.
 
         Args:
-            target: Who answered.
-            seconds: From the send to the answer's headers.
-            ahead: Requests thought to be at the target at the send.
-            now: When it came.
+            target: The target that answered.
+            seconds: Time from sending the request to the answer's headers.
+            ahead: Estimated requests at the target when it was sent.
+            now: When the answer arrived.
         """
 
 
@@ -77,17 +81,18 @@
 
 @dataclasses.dataclass(slots=True)
 class KneeEstimate:
-    """What is known of how the targets of one service slow down.
+    """Estimates how much the targets of one service slow down above the knee.
 
-    Which of some factors is true is weighed by what each makes of the answers.
+    It is a Bayesian estimate: the probability of each of `FACTORS` follows from
+    how well the factor explains the answers.
 
     Attributes:
         usual: Logarithms of the latest times at full speed.
-        logs: Logarithms of how well each of `FACTORS` explains the answers
-            above the knee.
-        known_at: When the last of them came.
-        decisions: What `is_above` said of each limit since then.
-        decided_until: Until when that holds.
+        logs: Log-likelihood of the answers above the knee under each of
+            `FACTORS`.
+        known_at: When the last of these answers arrived.
+        decisions: Cached results of `is_above`, by limit.
+        decided_until: When the cached results expire.
     """
 
     usual: deque[float] = dataclasses.field(
@@ -101,7 +106,7 @@
     decided_until: Deadline = Deadline(-math.inf)
 
     def is_above(self, limit: float, now: Deadline) -> bool:
-        """Return whether a request above the knee takes `limit` as long."""
+        """Return whether requests probably slow down by more than `limit`."""
         if not 0.0 < self.decided_until - now <= DECIDED_SECONDS:
             self.decisions.clear()
             self.decided_until = Deadline(now + DECIDED_SECONDS)
@@ -112,7 +117,7 @@
         return decided
 
     def likely_above(self, limit: float, now: Deadline) -> float:
-        """Return how likely that is."""
+        """Return the probability that the factor is greater than `limit`."""
         kept = self._kept(now)
         best = max(self.logs)
         total = above = 0.0
@@ -125,52 +130,53 @@
         return above / total
 
     def note_usual(self, seconds: float) -> None:
-        """Take the time of a request that was started at full speed."""
+        """Add the time of a request that was started below the knee."""
         self.usual.append(math.log(seconds))
 
     def note_above(self, seconds: float, now: Deadline) -> None:
-        """Take the time of a request that was started above the knee."""
+        """Add the time of a request that was started above the knee."""
         if len(self.usual) < LEAST_ANSWERS:
             return
         kept = self._kept(now)
         self.known_at = now
         self.decisions.clear()
         late = math.log(seconds) - self._usual_log()
-        # What it is compared with varies as well.
+        # The mean that the time is compared with has a standard error as well.
         spread = TIME_SPREAD * math.sqrt(1 + 1 / len(self.usual))
         for number, factor in enumerate(FACTORS):
             off = min(abs(late - math.log(factor)) / spread, OUTLIER_SPREADS)
             self.logs[number] = self.logs[number] * kept - off * off / 2
 
     def _usual_log(self) -> float:
-        """Return the mean at full speed, without those that met trouble."""
+        """Return the mean logarithm at full speed, without outliers."""
         middle = statistics.median(self.usual)
         most = OUTLIER_SPREADS * TIME_SPREAD
         near = [log for log in self.usual if abs(log - middle) <= most]
         return statistics.fmean(near or [middle])
 
     def _kept(self, now: Deadline) -> float:
-        """Return how much of what was learned still counts."""
+        """Return the decay factor of the log-likelihoods."""
         return 0.5 ** ((now - self.known_at) / FORGET_SECONDS)
 
 
 class LearnedKnee(SlotRoom):
-    """Fills the slots up to which targets do most.
+    """Fills the number of slots at which targets have the most throughput.
 
-    A target of six slots that slows down above four does 4 requests in the time
-    of one with four, and 3.5 with six. Where the last slots add nothing a
-    request waits at the host instead, which can still send it elsewhere.
+    A target of six slots that slows down above four completes 4 requests in the
+    normal time of one with four slots in use, and 3.5 with six. Where the last
+    slots add no throughput, a request waits at the host instead, which can
+    still send it to another target.
 
     Attributes:
-        services: What is known of each service.
+        services: The estimate of each service.
     """
 
     def __init__(self) -> None:
-        """Start with nothing known."""
+        """Start without estimates."""
         self.services: dict[ServiceId, KneeEstimate] = {}
 
     def most(self, target: TargetState, now: Deadline) -> int:
-        """Return the slots up to which the target does most."""
+        """Return the number of slots with the most throughput."""
         fast = int(KNEE_SHARE * target.slots)
         estimate = self.services.get(target.service)
         if estimate is None or fast < 1:
@@ -181,7 +187,7 @@
     def answered(
         self, target: TargetState, seconds: float, ahead: float, now: Deadline
     ) -> None:
-        """Learn from an answer, unless its request waited at the target."""
+        """Update the estimate, unless the request waited at the target."""
         estimate = self.services.get(target.service)
         if estimate is None:
             estimate = self.services[target.service] = KneeEstimate()
@@ -194,5 +200,5 @@
 
 
 def is_above_knee(requests: float, slots: int) -> bool:
-    """Return whether a target may slow down with so many requests."""
+    """Return whether a target may slow down at this number of requests."""
     return requests > KNEE_SHARE * slots
--- a/agatetack/balance/start_share.py
+++ b/agatetack/balance/start_share.py
@@ -1,9 +1,9 @@
-"""Share the targets' slots out among hosts that do not hear each other yet.
+"""Divide the targets' slots among hosts that are not yet connected.
 
-When a whole fleet starts at once, as after a loss of power, every host finds
-callers waiting and knows of no request but its own. For the first moments each
-takes only slots that no other host takes, worked out alike by all of them from
-the list of hosts and that of targets.
+When a whole fleet starts at once, as after a power failure, every host has
+waiting callers and knows only of its own requests. At first each host therefore
+uses only its own part of the slots, which every host computes in the same way
+from the lists of hosts and targets, so that no two hosts use the same slot.
 """
 
 from collections import Counter
@@ -19,22 +19,23 @@
 from agatetack.targets.state import TargetState
 
 START_SECONDS = 0.3
-"""Longest time that a host which starts keeps to its share. Links with the
-peers stand some 100 ms after a start."""
+"""Maximum time for which a starting host limits itself to its share. The
+connections to the peers are open about 100 ms after a start."""
 
 HEARD_RATIO = 0.8
-"""Share of the listed hosts that is heard when a host leaves its share."""
+"""Ratio of the listed hosts that a host must be connected to before it stops
+limiting itself to its share."""
 
 POLL_SECONDS = 0.005
-"""How often a host that starts looks whether it hears the others."""
+"""How often a starting host checks its connections to the others."""
 
 
 class StartShare(TargetShare):
-    """The slots that this host may take while it hears few others.
+    """Limits a host to its share of the slots while it is starting.
 
-    18 hosts that started at the same moment sent 60 requests within 10 ms, up
-    to six of them to one target of three slots; 46 of 190 requests of that
-    second ended at their route's timeout.
+    Without the limit, 18 hosts that started at the same moment sent 60 requests
+    within 10 ms, up to six of them to one target of three slots; 46 of the 190
+    requests of that second ran into their route's timeout.
 
     Attributes:
         over: Whether this host may use every slot.
@@ -46,7 +47,7 @@
         exchange: Exchange,
         listed: Callable[[], Sequence[HostId]],
     ):
-        """Start with all slots; `run` begins the time of shares.
+        """Allow all slots until `begin` is called.
 
         Args:
             registry: The targets.
@@ -61,12 +62,12 @@
         self.until = Deadline(0.0)
 
     def begin(self) -> None:
-        """Keep to the share from now on, for a while."""
+        """Start to limit this host to its share, for a limited time."""
         self.over = False
         self.until = Deadline(trio.current_time() + START_SECONDS)
 
     async def run(self) -> None:
-        """End the time of shares once the others are heard."""
+        """Lift the limit once the others are connected, or at its timeout."""
         while not self.over:
             if trio.current_time() >= self.until or self._hears_others():
                 self._end()
@@ -89,7 +90,7 @@
         return 1 + len(self.exchange.near_peers()) >= HEARD_RATIO * hosts
 
     def _hosts(self) -> Sequence[HostId]:
-        """Return the hosts that share the same targets, in order."""
+        """Return the hosts that share the same targets, sorted."""
         others = self.exchange.group_hosts() or self.listed()
         return sorted({self.own, *others})
 
@@ -109,15 +110,16 @@
     service: ServiceId,
     targets: Sequence[TargetState],
 ) -> Counter[TargetId]:
-    """Return how many slots of each target are `own`'s.
+    """Return how many slots of each target belong to the host `own`.
 
-    Slots go round among the hosts, so that each has as many as any other, or
-    one less, and those of one target go to different hosts.
+    Slots are assigned to the hosts round-robin, so that the numbers of slots of
+    any two hosts differ by at most one, and the slots of one target go to
+    different hosts.
 
     Args:
         own: One of `hosts`.
-        hosts: All hosts, in the same order at each.
-        service: The targets' service; each starts with another host.
+        hosts: All hosts, in the same order on each host.
+        service: The targets' service, which determines the first host.
         targets: The targets.
     """
     first = xxhash.xxh32_intdigest(service.encode())
--- a/agatetack/balance/target_share.py
+++ b/agatetack/balance/target_share.py
@@ -1,4 +1,4 @@
-"""Define what keeps a host to its part of what a fleet may send to a target."""
+"""Define how a fleet divides what it may send to a target among its hosts."""
 
 import abc
 import math
@@ -9,14 +9,14 @@
 
 
 class TargetShare(abc.ABC):
-    """One host's part of what all hosts together may send to a target."""
+    """This host's share of what all hosts together may send to a target."""
 
     @abc.abstractmethod
     def allows(self, target: TargetState) -> bool:
         """Return whether this host may send one more request to `target`."""
 
     def opens_at(self, target: TargetState, now: Deadline) -> Deadline:
-        """Return when it may at the soonest; `now` if that is not known."""
+        """Return the earliest time it may send; `now` if not known."""
         return now
 
     def most_until(
@@ -24,36 +24,36 @@
     ) -> float:
         """Return how many requests it may send from `now` to `until`.
 
-        Infinite where the share does not count them.
+        Infinite if the share does not limit their number.
         """
         return math.inf if self.opens_at(target, now) <= until else 0
 
     def any_opens_at(self, target: TargetState, now: Deadline) -> Deadline:
-        """Return when any host may at the soonest, as far as is known."""
+        """Return the earliest known time at which any host may send."""
         return self.opens_at(target, now)
 
     def is_due(self, target: TargetState, now: Deadline) -> bool:
-        """Return whether a request should go there before all others.
+        """Return whether the next request should go to `target`.
 
         Args:
-            target: A target to which one is allowed.
-            now: The time.
+            target: A target to which a request is allowed.
+            now: The current time.
         """
         return False
 
     def taken(self, target: TargetState) -> None:  # noqa: B027
-        """Note that a request was given to `target`."""
+        """Record that a request was assigned to `target`."""
 
     def may_probe(self, target: TargetState) -> bool:
         """Return whether this host may probe `target`."""
         return True
 
     def probed(self, target: TargetState) -> None:  # noqa: B027
-        """Note that a probe is sent to `target`."""
+        """Record that a probe is sent to `target`."""
 
 
 class NoShare(TargetShare):
-    """Lets a host send as if it were alone."""
+    """Does not limit what the host sends."""
 
     def allows(self, target: TargetState) -> bool:
         """Return True."""
@@ -61,10 +61,10 @@
 
 
 class AllShares(TargetShare):
-    """Lets a host send what each of several shares lets it."""
+    """Combines several shares; a request must be allowed by each of them."""
 
     def __init__(self, shares: Sequence[TargetShare]):
-        """Ask each of `shares`."""
+        """Combine `shares`."""
         self.shares = shares
 
     def allows(self, target: TargetState) -> bool:
@@ -72,35 +72,35 @@
         return all(share.allows(target) for share in self.shares)
 
     def opens_at(self, target: TargetState, now: Deadline) -> Deadline:
-        """Return when the last of them may."""
+        """Return the earliest time at which all shares allow a request."""
         return max(share.opens_at(target, now) for share in self.shares)
 
     def most_until(
         self, target: TargetState, now: Deadline, until: Deadline
     ) -> float:
-        """Return what the narrowest of them lets it send."""
+        """Return the number of requests that the strictest share allows."""
         return min(
             share.most_until(target, now, until) for share in self.shares
         )
 
     def any_opens_at(self, target: TargetState, now: Deadline) -> Deadline:
-        """Return when the last of them may let any host."""
+        """Return the earliest time at which all shares allow any host."""
         return max(share.any_opens_at(target, now) for share in self.shares)
 
     def is_due(self, target: TargetState, now: Deadline) -> bool:
-        """Return whether a request is due by any of them."""
+        """Return whether any of the shares has a request due."""
         return any(share.is_due(target, now) for share in self.shares)
 
     def taken(self, target: TargetState) -> None:
-        """Tell each share of a request."""
+        """Record a request with each share."""
         for share in self.shares:
             share.taken(target)
 
     def may_probe(self, target: TargetState) -> bool:
-        """Return whether every share lets this host probe `target`."""
+        """Return whether every share allows this host to probe `target`."""
         return all(share.may_probe(target) for share in self.shares)
 
     def probed(self, target: TargetState) -> None:
-        """Tell each share of a probe."""
+        """Record a probe with each share."""
         for share in self.shares:
             share.probed(target)
--- a/agatetack/balance/test_cold_share.py
+++ b/agatetack/balance/test_cold_share.py
@@ -1,9 +1,10 @@
-"""Test what cold targets get from a fleet whose hosts don't hear each other.
+"""Test what cold targets get from hosts that cannot communicate.
 
-The pattern: a target, or all of a failure domain, comes back cold, and every
-host learns it at the same moment with requests waiting. The figures are the
-platform's: a cold target takes 5.6 requests a second, and no more than 1.5
-times as many and 8 more may reach it in any second, from all hosts together.
+Guards against too many requests at targets that restart: one target, or all of
+a failure domain, comes back cold, and all hosts learn of it at the same moment
+while requests are waiting. The platform defines the limits: a cold target takes
+5.6 requests per second, and in any second no more than 1.5 times as many plus 8
+may reach it from all hosts together.
 """
 
 import random
@@ -61,14 +62,14 @@
 
 
 async def press(shares, registry, seconds, attempts, sent):
-    """Let every host try to send to every target, many times a second.
+    """Let every host try to send to every target, many times per second.
 
     Args:
         shares: The hosts' shares.
         registry: The targets.
-        seconds: For how long.
-        attempts: Tries of each host at each target in a second.
-        sent: Takes the times of requests, by target.
+        seconds: Duration.
+        attempts: Tries of each host at each target per second.
+        sent: Collects the times of requests, by target.
     """
     rng = random.Random(1)
     end = trio.current_time() + seconds
@@ -135,7 +136,7 @@
     chill(registry)
     await press(shares, registry, WARM_UP_SECONDS, 20, sent)
     assert all(most_in_a_second(times) <= BOUND for times in sent.values())
-    # The owners use what is left to them.
+    # The owners do send within their limit.
     if views is same_lists:
         assert len(sent) == len(registry.targets(SERVICE))
 
@@ -156,8 +157,8 @@
 
 @pytest.mark.parametrize("count", [17, 96])
 async def test_a_target_that_turns_cold_without_a_word(autojump_clock, count):
-    # 60 requests a second go there, evenly, until a probe, one in 0.17 s, shows
-    # it and the prober's word is with the others 0.02 s later.
+    # The target gets 60 requests per second at even intervals. A probe, one
+    # every 0.17 s, finds it cold, and the other hosts know 0.02 s later.
     registry = make_registry(1)
     target = registry.targets(SERVICE)[0]
     hosts = [host(n) for n in range(count)]
@@ -181,7 +182,7 @@
 async def test_nobody_sends_while_it_is_not_known_how_cold(autojump_clock):
     registry = make_registry()
     hosts = [host(n) for n in range(17)]
-    # Nobody is listed to a fleet whose hosts all just started.
+    # Hosts that have all just started see an empty host list.
     shares = [make_share(registry, h.id, []) for h in hosts]
     domains = frozenset(DOMAINS)
     registry.set_evacuated(domains)
@@ -204,7 +205,7 @@
         (False, 0.0, 0.0, 0.0),
         (True, 3.0, 0.0, QUIET_SECONDS),
         (True, 3.0, 2.0, 0.0),
-        # What nobody knows is no ground to turn a request away.
+        # A request is not refused because it is unknown when a target is warm.
         (False, float("inf"), 0.0, 0.0),
     ],
 )
--- a/agatetack/balance/test_fleet_view.py
+++ b/agatetack/balance/test_fleet_view.py
@@ -1,4 +1,4 @@
-"""Test the choice by what all hosts have at each target."""
+"""Test the choice of targets by their load from all hosts."""
 
 import random
 
@@ -187,7 +187,7 @@
     getattr(policy, end)(targets[0], NOW)
     policy.answered(targets[0], 0.1, 0.0, NOW)
     assert chosen(NOW + 0.1) == ids(targets[1:])
-    # With nothing new against it, it gets requests again.
+    # It gets requests again after some time without further failures.
     assert chosen(NOW + 30) == ids(targets)
 
 
@@ -210,9 +210,10 @@
 async def test_targets_of_other_groups_take_what_the_own_group_has_no_room_for(
     autojump_clock, own_load, spills
 ):
-    # The pattern: 312 hosts send 1.5 requests a second each to 109 targets of
-    # two slots, 5 of them shared with 16 other hosts. Connections stay open to
-    # few targets, so that hosts keep to their group's, but do not wait there.
+    # The scenario: 312 hosts each send 1.5 requests per second to 109 targets
+    # of two slots, 5 of which they share with 16 other hosts. As connections to
+    # few targets stay open, hosts prefer the targets of their group, but do not
+    # wait for them.
     targets = make_targets(15)
     own, others = targets[:5], targets[5:]
     for target in own:
--- a/agatetack/balance/test_looked_at_cold_targets.py
+++ b/agatetack/balance/test_looked_at_cold_targets.py
@@ -1,9 +1,9 @@
-"""Test what reaches a target that turns cold without a word, with looks.
+"""Test what reaches a target that turns cold unannounced, with pre-send probes.
 
-The pattern: requests come at random, and until a probe or a look shows that
-the target is cold and the word is with the others, nobody holds any back. Only
-the looks before sends bound what comes by then; the owner and the quiet time
-bound what comes after.
+Requests arrive at random times. No host limits them until a periodic or a
+pre-send probe finds that the target is cold and the other hosts know of it.
+Until then only the pre-send probes bound the number of requests; afterwards the
+choice of one owner and its quiet time do.
 """
 
 import random
@@ -42,12 +42,12 @@
 REQUESTS_PER_SECOND = 60
 TARGETS = 3
 WARM_SECONDS = 2.0
-"""How long requests come before the targets turn cold; no looks are saved up
-then."""
+"""How long requests arrive before the targets turn cold, so that no budget for
+pre-send probes is saved up."""
 
 
 class Leave(Permit):
-    """Leave for one target."""
+    """Permit for one target."""
 
     def __init__(self, target):
         self.target = target
@@ -60,7 +60,7 @@
 
 
 class OneTarget(AdmissionController):
-    """Gives leave for one target, as the share of cold ones allows."""
+    """Grants permits for one target if the share of cold targets allows it."""
 
     def __init__(self, share, target):
         self.share = share
@@ -77,10 +77,10 @@
 
 
 class Host:
-    """One host, which knows only what it was told or has seen.
+    """One host, which knows only what it has observed or received.
 
     Attributes:
-        sends: Ways to send to each target, by its place in the list.
+        sends: An admission controller for each target, in list order.
     """
 
     def __init__(self, fleet, number, listed):
@@ -134,7 +134,7 @@
     """Hosts, and targets that all turn cold at `cold_at`.
 
     Attributes:
-        sent: When each request went to each target.
+        sent: Times at which requests were sent, by target.
     """
 
     def __init__(self, count, nursery):
@@ -145,7 +145,7 @@
         self.sent = {}
 
     def show(self, target_id, seen_by):
-        """Let a host see how warm a target is; it tells the others."""
+        """Let a host observe a target; if it is cold, it reports to others."""
         now = Deadline(trio.current_time())
         if now >= self.cold_at:
             seen_by.hear(target_id, now)
@@ -157,7 +157,7 @@
             each.hear(target_id, Deadline(trio.current_time()))
 
     async def probe(self, place):
-        """Probe one target, last just before it turns cold."""
+        """Probe one target periodically, and just before it turns cold."""
         await trio.sleep(WARM_SECONDS % PROBE_SECONDS - 0.001)
         while True:
             await trio.sleep(PROBE_SECONDS)
@@ -174,7 +174,7 @@
             self.nursery.start_soon(sender.send, rng.randrange(TARGETS))
 
 
-# Guards against more requests at a target that turned cold than it may get.
+# Guards against too many requests at a target that turned cold.
 @pytest.mark.parametrize("count", [17, 96])
 @pytest.mark.parametrize("seed", range(5))
 async def test_targets_that_turn_cold_while_requests_come_at_random(
--- a/agatetack/balance/test_policies.py
+++ b/agatetack/balance/test_policies.py
@@ -79,7 +79,7 @@
             0.0,
             (0.3, 0.7),
         ),
-        # A free slot learnt of a while ago has been taken by others.
+        # A free slot that was reported a while ago has been taken by others.
         (
             "a free slot long ago",
             {"report": 0, "others": 2.0},
@@ -157,7 +157,7 @@
 @pytest.mark.parametrize(
     ("words", "share"),
     [
-        # One host's bad luck empties no target on the others.
+        # A few slow answers at one host do not make the others avoid a target.
         ([10], 0.25),
         ([10, 1, 10, 1], 0.25),
         ([10, 10, 10], 0.0),
@@ -252,7 +252,7 @@
     assert shares(policy, [target, make_target(2)], now)[0] > 0
     target.learned.sent[1] = now
     assert shares(policy, [target, make_target(2)], now)[0] == 0
-    # An answer ends that, and so does a long body by its headers.
+    # An answer ends the pause, at its headers even if the body is long.
     policy.answered(target, SERVICE_SECONDS, 0, now)
     assert shares(policy, [target, make_target(2)], now)[0] > 0
 
--- a/agatetack/balance/test_rate_share.py
+++ b/agatetack/balance/test_rate_share.py
@@ -1,9 +1,9 @@
-"""Test what targets that name a rate get from hosts that may not hear others.
+"""Test what rate-limited targets get from hosts that may not communicate.
 
-The pattern: one target, or many at one moment, name the requests a second that
-they take from all hosts together, and every host has more for them. In any 4 s
-no more may come than one and a half times the rate, and five; and not much less
-than the rate, as what such a target may take is service to callers.
+One target, or many at the same moment, announce how many requests per second
+they accept from all hosts together, and every host has more requests than that.
+In any 4 s at most one and a half times the rate plus five may arrive. Not much
+less than the rate should arrive, as unused capacity is lost to the callers.
 """
 
 import dataclasses
@@ -32,17 +32,17 @@
 WINDOW_SECONDS = 4.0
 STEP_SECONDS = 0.02
 LARGE_STEP_SECONDS = 0.1
-"""Time between two looks of hosts with requests waiting; in a large fleet the
-test itself takes too long otherwise."""
+"""Polling interval of hosts with waiting requests in a large fleet, where the
+test would take too long with the shorter one."""
 
 LARGE_FLEET = 90
 HOSTS = (2, 14, 96, 400)
 RATES = (0.2, 1.3, 1.8, 40.0)
 LONG_SECONDS = 100.0
-"""How long a host has run that knows what it sent."""
+"""Uptime of hosts that know all they sent within the last window."""
 
 LEAST_USE = 0.8
-"""Share of the rate that hosts use which have more requests than that."""
+"""Minimum ratio of the rate that hosts use if they have more requests."""
 
 
 def bound(rate):
@@ -54,9 +54,9 @@
     """One host, with its own view of hosts and targets.
 
     Attributes:
-        share: What it may send.
+        share: Its share of the target's rate.
         registry: Its targets.
-        listed: The hosts that it reads in the list.
+        listed: The hosts in its host list.
     """
 
     share: RateShare
@@ -65,11 +65,11 @@
 
     @property
     def target(self):
-        """Return the one target."""
+        """Return the only target."""
         return self.registry.targets(SERVICE)[0]
 
     def tell(self, rate):
-        """Let the host learn now what the target takes."""
+        """Let the host learn the target's rate limit."""
         now = Deadline(trio.current_time())
         self.target.rate_limit.note(rate, now)
 
@@ -102,7 +102,7 @@
 
 
 async def press(fleet, seconds):
-    """Let every host send whenever it may; return the times."""
+    """Let every host send whenever it may, and return the times of requests."""
     sent = []
     step = STEP_SECONDS if len(fleet) < LARGE_FLEET else LARGE_STEP_SECONDS
     end = trio.current_time() + seconds
@@ -133,7 +133,7 @@
     seconds = 30.0
     sent = await press(fleet, seconds)
     assert most_in_a_window(sent) <= bound(rate)
-    # Steps of the test are all that a host with many requests loses.
+    # A host with enough requests loses only the test's polling interval.
     assert len(sent) >= LEAST_USE * rate * seconds
 
 
@@ -189,7 +189,7 @@
             ):
                 sender.tell(rate)
                 told.append(sender)
-        # What hosts send that do not know of it yet doesn't count.
+        # Requests of hosts that do not yet know of the limit do not count.
         sent += await press(told, STEP_SECONDS)
     assert most_in_a_window(sent) <= bound(rate)
 
@@ -212,7 +212,7 @@
 
 @pytest.mark.parametrize("rate", RATES)
 async def test_a_host_that_takes_over_a_quota_keeps_to_it(autojump_clock, rate):
-    # Every host leaves the list in turn, the one with the first quota as well.
+    # Each host leaves the list in turn, including the one with the first quota.
     fleet = await make_fleet(14)
     for sender in fleet:
         sender.tell(rate)
@@ -257,7 +257,7 @@
 async def test_a_host_without_a_quota_tries_in_its_window(
     autojump_clock, rate, count
 ):
-    # All heard of the rate at the same moment, and nobody hears more of it.
+    # All learned of the rate at the same moment, and get no further reports.
     fleet = await make_fleet(count)
     for sender in fleet:
         sender.tell(rate)
@@ -290,7 +290,7 @@
     assert len(await press(fleet, 2.0)) <= 1
     sender.registry.update([started_target(1, 2000)])
     assert sender.share.allows(sender.target)
-    # It is another process, with a rate and a quota of its own.
+    # It is a new process, with its own rate and quota.
     sender.tell(0.2)
     await press(fleet, 1.0)
     assert list(sender.share.targets) == [sender.target.process]
@@ -304,7 +304,7 @@
     assert not sender.share.may_probe(sender.target)
     sender.share.taken(sender.target)
     await trio.sleep(QUIET_SECONDS + 0.1)
-    # A request may go first, and is due.
+    # A request is allowed and due; it goes before a probe.
     now = Deadline(trio.current_time())
     assert sender.share.allows(sender.target)
     assert sender.share.is_due(sender.target, now)
@@ -312,7 +312,7 @@
     await trio.sleep(5.0)
     assert sender.share.may_probe(sender.target)
     sender.share.probed(sender.target)
-    # The probe took the place of a request.
+    # The probe used the quota of a request.
     assert not sender.share.allows(sender.target)
     assert not sender.share.may_probe(sender.target)
 
@@ -337,7 +337,7 @@
 
 
 class Grouped(NoExchange):
-    """A fleet in groups, where the target is of one of them."""
+    """A fleet in groups, one of which the target belongs to."""
 
     def __init__(self, group, shares):
         self.group = group
@@ -389,7 +389,7 @@
 async def test_a_host_knows_what_it_may_send_in_time(
     autojump_clock, rate, seconds, most
 ):
-    # Alone it has the whole rate, and is as good as free to send now.
+    # A single host has the whole rate and may send immediately.
     sender = (await make_fleet(1))[0]
     sender.tell(rate)
     now = Deadline(trio.current_time())
--- a/agatetack/balance/test_room.py
+++ b/agatetack/balance/test_room.py
@@ -1,8 +1,9 @@
-"""Test how far targets are filled, and that it is found out by itself.
+"""Test how many slots of targets are used, and that this is learned.
 
-The pattern: some services' targets slow down when they are nearly full, so that
-in an overload the last slots add work and no answers; others do not, and lose
-a third of what they can do if these stay empty. Which is which nobody says.
+The targets of some services slow down when they are nearly full, so that in an
+overload the last slots add work and no answers. Others do not, and lose a third
+of their throughput if the last slots stay empty. Which services slow down is
+not configured.
 """
 
 import random
@@ -14,10 +15,11 @@
 
 SERVICE_SECONDS = 0.26
 SPREAD = 0.3
-"""Sigma of a request's time, as a logarithm."""
+"""Standard deviation of the logarithm of a request's time."""
 
 SLOW_SHARE, SLOW_FACTOR = 0.05, 5.0
-"""Requests that met a slow machine although it was looked at."""
+"""Ratio of requests that run on a slow machine despite the pre-send probe, and
+the factor by which they take longer."""
 
 
 def make_target(slots, service="svc"):
@@ -46,7 +48,7 @@
         (6, 1.2, 6),
         (10, 1.7, 8),
         (16, 2.0, 12),
-        # The last one adds more than it costs.
+        # With these, the last slot adds more throughput than it costs.
         (2, 1.7, 2),
         (2, 1.0, 2),
         (3, 1.0, 3),
@@ -78,7 +80,7 @@
             answer(room, target, 1.7, rng, 0.0, ahead=1)
             answer(room, target, 1.7, rng, 0.0, ahead=4)
         known += room.most(target, 0.0) == 4
-    # On nine hosts of ten.
+    # Nine out of ten hosts must have learned it.
     assert known >= least
 
 
@@ -109,6 +111,6 @@
     assert room.most(target, 0.0) == 4
     assert room.most(other, 0.0) == 6
     assert room.most(target, 12 * FORGET_SECONDS) == 6
-    # One request that waited there says nothing.
+    # A request that waited at the target does not count.
     room.answered(target, 9.0, 6.0, 0.0)
     assert room.most(target, 0.0) == 4
--- a/agatetack/balance/test_start_share.py
+++ b/agatetack/balance/test_start_share.py
@@ -1,8 +1,9 @@
-"""Test what a host sends before it hears the others of its fleet.
+"""Test what a host sends before it is connected to the others of its fleet.
 
-The pattern: a fleet loses power and all its hosts start in the same moment.
-Callers have waited for a second, so that each host has several requests at
-once, and the first word of another host comes some 100 ms later.
+Guards against overloaded targets when a fleet loses power and all its hosts
+start at the same moment. Callers have waited for a second, so that each host
+gets several requests at once, and the first message from another host arrives
+about 100 ms later.
 """
 
 import pytest
@@ -85,6 +86,6 @@
     assert not all(map(share.allows, registry.targets(SERVICE)))
     await share.run()
     assert trio.current_time() - start == pytest.approx(over_after, abs=0.01)
-    # Whoever waits is served now.
+    # The watchers of the service are notified, to serve waiting requests.
     assert told == [SERVICE]
     assert all(map(share.allows, registry.targets(SERVICE)))
--- a/agatetack/balance/test_targets_that_limit_their_rate.py
+++ b/agatetack/balance/test_targets_that_limit_their_rate.py
@@ -1,17 +1,12 @@
-"""Test what reaches targets that name the requests a second they take.
-
-Seen: targets of a busy service began to name a rate in their answers, 1.3 to 2
-requests a second from all hosts together, and got what they had got before: up
-to 31 requests in 4 s where 13 were allowed. Callers noticed little.
-
-How it came about: no host read the name of the rate. It was passed on to the
-caller with the rest of the answer, and choice of target, repeats, looks and
-probes went on by load alone. What a host measures counts at the target like any
-request: of 21 that were reported in 4 s, 14 were callers' requests.
-
-Proved by: as many arrivals at these targets in the 8 s before as in the 8 s
-after, and as many as at targets of the service that named none; no line and no
-counter of any host that knew of a rate.
+"""Test what reaches targets that announce a rate limit in their answers.
+
+Guards against hosts that ignore the limit. Targets of a busy service announced
+1.3 to 2 requests per second from all hosts together, and got as many as before
+and as many as targets without a limit: up to 31 requests in 4 s where 13 were
+allowed. No host read the header. It was only forwarded to the caller, and the
+choice of targets, retries, pre-send probes and probes depended on load alone.
+Probes count at the target like requests: of 21 arrivals in 4 s, 14 were
+callers' requests.
 """
 
 import pytest
@@ -26,10 +21,12 @@
 
 WINDOW_SECONDS = 4.0
 TOLD_SECONDS = 0.5
-"""After which a host that passed on a rate has to keep to it."""
+"""Time after which a host that forwarded an answer with a rate limit has to
+respect the limit."""
 
 STABLE_SECONDS = 3.0
-"""Time from the first naming of a rate until it binds."""
+"""Time from the first announcement of a rate limit until it must be respected
+by all hosts."""
 
 RATIO = 1.5
 SLACK = 5
@@ -45,7 +42,7 @@
 async def test_no_more_reaches_them_than_they_take(
     autojump_clock, monkeypatch, rate, linked
 ):
-    # Hosts that are not linked hear nothing of each other.
+    # Hosts that are not linked get no messages from each other.
     async with limited_fleet(monkeypatch, 14, 9, linked) as fleet:
         await fleet.press(4.0, 34.0)
         limited = fleet.targets[::2]
@@ -115,7 +112,7 @@
         assert trio.current_time() == begin
         assert refusal.reason is RefusalReason.NO_TARGET
         assert refusal.outcome is Outcome.NOT_RUN
-        # Both targets take one request in 5 s, from any host.
+        # Each target accepts one request every 5 s, from all hosts together.
         assert refusal.retry_at == pytest.approx(begin + 5.0)
 
 
@@ -148,7 +145,7 @@
 async def test_no_more_requests_wait_than_targets_take_in_time(
     autojump_clock, monkeypatch
 ):
-    # One host and two targets that take one request in 5 s each.
+    # One host, and two targets that accept one request every 5 s each.
     async with limited_fleet(monkeypatch, 1, 2) as fleet:
         for target in fleet.targets:
             target.faults.rate_limits = (b"0.2",)
--- a/agatetack/balance/test_targets_that_push_back.py
+++ b/agatetack/balance/test_targets_that_push_back.py
@@ -1,4 +1,4 @@
-"""Test what reaches targets that asked hosts to stay away."""
+"""Test what reaches targets that refused requests with a pushback delay."""
 
 import pytest
 import trio
@@ -15,20 +15,21 @@
 from agatetack.testing.targets import make_request, make_route, started_target
 
 TOLD_SECONDS = 0.5
-"""After which a host that was turned away has to stay away."""
+"""Time after which a host that was pushed back must send no more requests."""
 
 PER_SECOND = 90.0
-"""Requests to all hosts; six targets of two slots take 120."""
+"""Requests per second to all hosts; six targets of two slots can handle 120."""
 
 PER_TARGET = 20.0
-"""Requests a second that a target of two slots runs."""
+"""Requests per second that a target of two slots can handle."""
 
 MOST_IN_THAT_TIME = 2
-"""Requests that may still come from one host before the time is over."""
+"""Maximum number of requests that may still arrive from one host during the
+pushback delay."""
 
 
-# Guards against: a target that turned requests away, and said for how long it
-# wants none, looked idle and got more than before.
+# Guards against this fault: a target that refused requests with a pushback
+# delay seemed idle and got more requests than before.
 @pytest.mark.parametrize(
     ("hosts", "retry_after", "load_path_too", "linked"),
     [
@@ -61,7 +62,7 @@
 
 
 async def _turned_away_by_all(fleet):
-    """Let every target of `fleet` ask its only host to stay away for 3 s."""
+    """Let every target of `fleet` push back its only host for 3 s."""
     for target in fleet.targets:
         target.faults.turning_away = True
         target.faults.retry_after = (b"3",)
@@ -125,7 +126,7 @@
     target = next(iter(registry.by_id.values()))
     headers = [Header(b"retry-after", b"3")]
     registry.pushbacks.note_answer(target, 503, headers, ReportSource.ANSWER)
-    # Its registration lapses and is made anew.
+    # Its registration expires and is renewed.
     registry.update([])
     registry.update([started_target(1, incarnation)])
     target = next(iter(registry.by_id.values()))
@@ -139,10 +140,10 @@
 @pytest.mark.parametrize(
     ("asked", "wait"),
     [
-        # The other target may be asked at once.
+        # The other target accepts requests at once.
         ((b"3", None), 0.3),
         ((None, b"3"), 0.3),
-        # The first one that ends.
+        # The shorter pushback delay counts.
         ((b"3", b"1"), 1.0),
         ((b"1", b"3"), 1.0),
     ],
@@ -165,8 +166,8 @@
         )
 
 
-# Guards against: work that went from targets that ask to be left alone to the
-# others made these ask for the same.
+# Guards against this fault: requests that moved from targets that pushed back
+# to the others made these push back as well.
 @pytest.mark.parametrize(
     ("pushing", "use"), [(1, 0.5), (1, 0.9), (5, 0.5), (5, 0.9), (9, 0.5)]
 )
@@ -175,7 +176,7 @@
 ):
     async with limited_fleet(monkeypatch, 14, 9) as fleet:
         for target in fleet.targets:
-            # Two run, four wait; of more than these each asks for rest.
+            # Two requests run and four wait; a target with more pushes back.
             target.faults.shed_above = 6
             target.faults.retry_after = (b"1",)
         for target in fleet.targets[:pushing]:
