--- a/agatetack/admission/lane.py
+++ b/agatetack/admission/lane.py
@@ -14,11 +14,11 @@
 from agatetack.targets.state import TargetState, TargetStatus
 
 LATENCY_WEIGHT = 0.05
-"""Weight of one answer in the service's moving average of the latency."""
+"""Weight of one response in the service's moving average of the latency."""
 
 QUICK_SHARE = 0.5
-"""Ratio of the usual latency below which no answer is expected. A request with
-less time left before its deadline is refused."""
+"""Ratio of the usual latency below which no response is expected. A request
+with less time left before its deadline is refused."""
 
 GAP_WEIGHT = 0.1
 """Weight of one interval in the moving average of the time between two waiters
@@ -26,7 +26,7 @@
 
 IN_TIME_SHARE = 0.75
 """Ratio of the usual latency that has to be left of a route's target latency
-for an answer to be in time.
+for a response to be in time.
 
 Requests with less left go behind those that can still be answered in time.
 """
@@ -46,8 +46,8 @@
 
     Attributes:
         queues: Waiting requests, by priority.
-        latency: Moving average of the time to an answer, in seconds, or None
-            before the first answer.
+        latency: Moving average of the time to a response, in seconds, or None
+            before the first response.
         gap: Moving average of the time between two waiters that get a target,
             in seconds, or None before the first.
         served_at: When the last waiter got a target, or when the queue last
@@ -238,7 +238,7 @@
         """Return when a waiting request has to start polling for a target.
 
         No event announces that this host's share of a target allows another
-        request, or that load estimates decay once the answer is late.
+        request, or that load estimates decay once the response is late.
         """
         late_at = self.late_at(wanted)
         targets = self._usable(wanted.route)
@@ -260,7 +260,7 @@
         return refuse(RefusalReason.QUEUE_FULL, detail, self.retry_at(now))
 
     def note_latency(self, latency: float) -> None:
-        """Update the moving average of the time to an answer."""
+        """Update the moving average of the time to a response."""
         if self.latency is None:
             self.latency = latency
         else:
@@ -268,7 +268,7 @@
 
     @property
     def quick_latency(self) -> float:
-        """Return the shortest time in which an answer is expected."""
+        """Return the shortest time in which a response is expected."""
         return QUICK_SHARE * (self.latency or 0.0)
 
     def _late(self, now: Deadline, detail: str) -> Refusal:
--- a/agatetack/balance/expected_wait.py
+++ b/agatetack/balance/expected_wait.py
@@ -21,7 +21,7 @@
 NORMAL_RATIO = 2.0
 """Up to this multiple of the typical service time a target counts as normal.
 
-Smaller differences that a host measures are mostly noise in a few answers;
+Smaller differences that a host measures are mostly noise in a few responses;
 reacting to them makes the load of the targets uneven.
 """
 
@@ -45,7 +45,7 @@
 
 
 class ExpectedWait(LearningPolicy):
-    """Chooses the target with the lowest expected time to an answer."""
+    """Chooses the target with the lowest expected time to a response."""
 
     def __init__(self, settings: Settings, rng: random.Random):
         """Choose among nearly equal candidates with `rng`."""
@@ -83,14 +83,14 @@
         return self.draw_near(candidates, costs, NEAR_RATIO * typical)
 
     def cost(self, target: TargetState, now: Deadline, typical: float) -> float:
-        """Return the expected seconds from sending to the answer."""
+        """Return the expected seconds from sending to the response."""
         learned = target.learned
         service = learned.service_seconds or typical
         if service < NORMAL_RATIO * typical:
             service = typical
         if learned.sent:
             # A request that has been in flight for long shows that the target
-            # is slow before an answer does.
+            # is slow before a response does.
             service = max(service, OUT_SHARE * learned.out_seconds(now))
         wait = expected_wait(
             target.in_flight, self.expected_others(target, now), target.slots
--- a/agatetack/balance/room.py
+++ b/agatetack/balance/room.py
@@ -26,7 +26,7 @@
 """Standard deviation of the logarithm of a request's time."""
 
 LEAST_ANSWERS = 5
-"""Minimum number of answers at full speed before others are compared with
+"""Minimum number of responses at full speed before others are compared with
 them."""
 
 OUTLIER_SPREADS = 2.0
@@ -35,7 +35,7 @@
 slots."""
 
 USUAL_ANSWERS = 32
-"""Number of latest answers at full speed that others are compared with."""
+"""Number of latest responses at full speed that others are compared with."""
 
 FORGET_SECONDS = 60.0
 """Half-life of the estimate while no request runs above the knee, so that the
@@ -47,8 +47,8 @@
 is above this."""
 
 DECIDED_SECONDS = 1.0
-"""How long a decision is cached if no answer arrives, as it is needed for each
-target at each choice."""
+"""How long a decision is cached if no response arrives, as it is needed for
+each target at each choice."""
 
 
 class SlotRoom(abc.ABC):
@@ -61,13 +61,13 @@
     def answered(  # noqa: B027
         self, target: TargetState, seconds: float, ahead: float, now: Deadline
     ) -> None:
-        """Update the estimate from an answer.
+        """Update the estimate from a response.
 
         Args:
             target: The target that answered.
-            seconds: Time from sending the request to the answer's headers.
+            seconds: Time from sending the request to the response's headers.
             ahead: Estimated requests at the target when it was sent.
-            now: When the answer arrived.
+            now: When the response arrived.
         """
 
 
@@ -84,13 +84,13 @@
     """Estimates how much the targets of one service slow down above the knee.
 
     It is a Bayesian estimate: the probability of each of `FACTORS` follows from
-    how well the factor explains the answers.
+    how well the factor explains the responses.
 
     Attributes:
         usual: Logarithms of the latest times at full speed.
-        logs: Log-likelihood of the answers above the knee under each of
+        logs: Log-likelihood of the responses above the knee under each of
             `FACTORS`.
-        known_at: When the last of these answers arrived.
+        known_at: When the last of these responses arrived.
         decisions: Cached results of `is_above`, by limit.
         decided_until: When the cached results expire.
     """
