--- a/agatetack/admission/service.py
+++ b/agatetack/admission/service.py
@@ -13,10 +13,10 @@
     PermitRequest,
     Priority,
 )
-from agatetack.admission.lane import Lane
 from agatetack.admission.limits import TargetLimits
 from agatetack.admission.queue import Waiter
 from agatetack.admission.rates import RouteRates
+from agatetack.admission.service_queue import ServiceQueue
 from agatetack.balance.policy import Policy
 from agatetack.balance.target_share import NoShare, TargetShare
 from agatetack.config.route import Route
@@ -91,7 +91,7 @@
     """One queue for each service, in front of its targets.
 
     Attributes:
-        lanes: The queue of each service.
+        service_queues: The queue of each service.
     """
 
     def __init__(
@@ -122,7 +122,7 @@
         self.metrics = metrics
         self.limits = TargetLimits(settings)
         self.rates = RouteRates(fleet_size)
-        self.lanes: dict[ServiceId, Lane] = {}
+        self.service_queues: dict[ServiceId, ServiceQueue] = {}
         self.numbers = itertools.count()
         self.queued = metrics.gauge(
             "agatetack_queued", "Requests waiting for a target, by service."
@@ -148,64 +148,64 @@
                         retry_at,
                     )
                 )
-        lane = self._lane(route.service)
-        refusal = lane.check(wanted, now)
+        queue = self._service_queue(route.service)
+        refusal = queue.check(wanted, now)
         if refusal is not None:
             return Failure(refusal)
-        target = lane.take_now(wanted, now)
+        target = queue.take_now(wanted, now)
         if target is not None:
             return Success(self._permit(target, now))
         if not wanted.wait:
-            return Failure(lane.refuse_full(now, "No target is free."))
-        return await self._wait(lane, wanted, now)
+            return Failure(queue.refuse_full(now, "No target is free."))
+        return await self._wait(queue, wanted, now)
 
     def retry_at(self, route: Route) -> Deadline:
         """Return when a refused caller should retry."""
         now = Deadline(trio.current_time())
-        return self._lane(route.service).come_back_at(route, now)
+        return self._service_queue(route.service).come_back_at(route, now)
 
     async def _wait(
-        self, lane: Lane, wanted: PermitRequest, now: Deadline
+        self, queue: ServiceQueue, wanted: PermitRequest, now: Deadline
     ) -> Result[Permit, Refusal]:
-        refusal = lane.check_queue(wanted, now)
+        refusal = queue.check_queue(wanted, now)
         if refusal is not None:
             return Failure(refusal)
         waiter = Waiter(wanted, now)
-        lane.add(waiter, now)
+        queue.add(waiter, now)
         # A slot may have become free while other requests were waiting.
-        self._serve(lane, now)
-        self._show_queue(lane)
+        self._serve(queue, now)
+        self._show_queue(queue)
         try:
-            await self._until_served(lane, waiter, now)
+            await self._until_served(queue, waiter, now)
         except trio.Cancelled:
             if waiter.target is not None:
                 self._give_back(waiter.target)
             raise
         finally:
-            lane.forget(waiter)
-            self._show_queue(lane)
+            queue.forget(waiter)
+            self._show_queue(queue)
         now = Deadline(trio.current_time())
         if waiter.target is not None:
-            self._count_wait(lane, "served")
+            self._count_wait(queue, "served")
             return Success(self._permit(waiter.target, now, counted=True))
-        self._count_wait(lane, "refused")
+        self._count_wait(queue, "refused")
         if waiter.refusal is not None:
             return Failure(waiter.refusal)
         return Failure(
             refuse(
                 RefusalReason.DEADLINE_EXCEEDED_IN_QUEUE,
                 "No target was free in time.",
-                lane.retry_at(now),
+                queue.retry_at(now),
             )
         )
 
     async def _until_served(
-        self, lane: Lane, waiter: Waiter, now: Deadline
+        self, queue: ServiceQueue, waiter: Waiter, now: Deadline
     ) -> None:
-        with trio.move_on_at(lane.give_up_at(waiter.wanted, now)):
+        with trio.move_on_at(queue.give_up_at(waiter.wanted, now)):
             poll = LOW_POLL_SECONDS
             if waiter.wanted.priority is not Priority.LOW:
-                with trio.move_on_at(lane.look_again_at(waiter.wanted, now)):
+                with trio.move_on_at(queue.look_again_at(waiter.wanted, now)):
                     await waiter.event.wait()
                 poll = LATE_POLL_SECONDS
             # Load estimates decay with time, and other hosts' turns to take a
@@ -213,7 +213,7 @@
             while not waiter.event.is_set():
                 with trio.move_on_after(poll):
                     await waiter.event.wait()
-                self._serve(lane, Deadline(trio.current_time()))
+                self._serve(queue, Deadline(trio.current_time()))
 
     def note_answer(self, permit: ServicePermit, latency: float) -> None:
         """Update the estimates of the target from a response's headers."""
@@ -232,7 +232,7 @@
         target.learned.sent.pop(permit.number, None)
         self.policy.answered(target, latency, permit.waiting, now)
         self.limits.answered(target)
-        self._lane(target.service).note_latency(latency)
+        self._service_queue(target.service).note_latency(latency)
 
     def note_release(
         self, permit: ServicePermit, result: AttemptResult
@@ -256,21 +256,21 @@
             self.policy.failed(target, now)
         # This host's own waiting requests go first, as other hosts learn of the
         # free slot only after a message has reached them.
-        self._serve(self._lane(target.service), now)
+        self._serve(self._service_queue(target.service), now)
         self.registry.note_in_flight(target)
 
-    def _lane(self, service: ServiceId) -> Lane:
-        lane = self.lanes.get(service)
-        if lane is None:
-            lane = Lane(
+    def _service_queue(self, service: ServiceId) -> ServiceQueue:
+        queue = self.service_queues.get(service)
+        if queue is None:
+            queue = ServiceQueue(
                 service,
                 self.settings,
                 self.registry,
                 self.policy,
                 self.share,
             )
-            self.lanes[service] = lane
-        return lane
+            self.service_queues[service] = queue
+        return queue
 
     def _permit(
         self, target: TargetState, now: Deadline, counted: bool = False
@@ -293,25 +293,25 @@
     def _give_back(self, target: TargetState) -> None:
         target.in_flight -= 1
         now = Deadline(trio.current_time())
-        self._serve(self._lane(target.service), now)
+        self._serve(self._service_queue(target.service), now)
         self.registry.note_in_flight(target)
 
     def _targets_changed(self, service: ServiceId) -> None:
-        lane = self.lanes.get(service)
-        if lane is None or not lane.size:
+        queue = self.service_queues.get(service)
+        if queue is None or not queue.size:
             return
         now = Deadline(trio.current_time())
         if self.registry.targets(service):
-            self._serve(lane, now)
+            self._serve(queue, now)
         else:
-            lane.refuse_all(now)
+            queue.refuse_all(now)
 
-    def _serve(self, lane: Lane, now: Deadline) -> None:
-        if lane.size:
-            lane.serve(now)
+    def _serve(self, queue: ServiceQueue, now: Deadline) -> None:
+        if queue.size:
+            queue.serve(now)
 
-    def _show_queue(self, lane: Lane) -> None:
-        self.queued.set({"service": lane.service}, lane.size)
+    def _show_queue(self, queue: ServiceQueue) -> None:
+        self.queued.set({"service": queue.service}, queue.size)
 
-    def _count_wait(self, lane: Lane, result: str) -> None:
-        self.queue_waits.inc({"service": lane.service, "result": result})
+    def _count_wait(self, queue: ServiceQueue, result: str) -> None:
+        self.queue_waits.inc({"service": queue.service, "result": result})
--- a/agatetack/admission/lane.py
+++ b/agatetack/admission/service_queue.py
@@ -41,7 +41,7 @@
 every slot."""
 
 
-class Lane:
+class ServiceQueue:
     """The waiting requests of one service.
 
     Attributes:
--- a/agatetack/admission/test_order.py
+++ b/agatetack/admission/test_order.py
@@ -5,8 +5,8 @@
 import trio.testing
 
 from agatetack.admission.controller import Priority
-from agatetack.admission.lane import LATE_YIELD_SECONDS
 from agatetack.admission.service import LATE_POLL_SECONDS
+from agatetack.admission.service_queue import LATE_YIELD_SECONDS
 from agatetack.admission.test_support import fill, make_bed
 from agatetack.ids import Deadline
 from agatetack.outcomes import RefusalReason
@@ -103,7 +103,7 @@
 async def test_who_can_be_in_time_goes_before_who_can_not(autojump_clock):
     bed = make_bed(standing_queue_seconds=100)
     route = make_route(target_latency_seconds=0.4)
-    bed.admission._lane(route.service).note_latency(0.2)
+    bed.admission._service_queue(route.service).note_latency(0.2)
     async with trio.open_nursery() as nursery:
         await fill(bed, nursery, ["first", "late"], route=route)
         # Of the target latency of 0.4 s less than 0.15 s is left, which is
@@ -124,7 +124,7 @@
 ):
     bed = make_bed()
     route = make_route(target_latency_seconds=0.4)
-    bed.admission._lane(route.service).note_latency(0.2)
+    bed.admission._service_queue(route.service).note_latency(0.2)
     # The hosts take turns at the target's free slots.
     bed.targets[0].free_slot_at = Deadline(0.001)
     await trio.sleep(1.0)
--- a/agatetack/admission/test_service.py
+++ b/agatetack/admission/test_service.py
@@ -34,7 +34,7 @@
         ),
         (
             "answers are slower than the time left",
-            lambda bed: bed.admission._lane(SERVICE).note_latency(1.0),
+            lambda bed: bed.admission._service_queue(SERVICE).note_latency(1.0),
             {"seconds": 0.3},
             RefusalReason.CANNOT_MEET_DEADLINE,
         ),
@@ -113,13 +113,13 @@
 
 async def test_gives_up_while_an_answer_is_still_possible(autojump_clock):
     bed = make_bed()
-    bed.admission._lane(SERVICE).note_latency(0.4)
+    bed.admission._service_queue(SERVICE).note_latency(0.4)
     await bed.ask("a")
     started = trio.current_time()
     await bed.ask("b", seconds=1.0)
     assert trio.current_time() - started == pytest.approx(0.8)
     assert bed.refused["b"].reason is RefusalReason.DEADLINE_EXCEEDED_IN_QUEUE
-    assert not bed.admission.lanes[SERVICE].size
+    assert not bed.admission.service_queues[SERVICE].size
 
 
 @pytest.mark.parametrize("priority", list(Priority))
@@ -133,7 +133,7 @@
         nursery.cancel_scope.cancel()
     held = len(bed.permits)
     assert bed.in_flight() == held
-    assert not bed.admission.lanes[SERVICE].size
+    assert not bed.admission.service_queues[SERVICE].size
 
 
 @pytest.mark.parametrize(("fleet", "passed"), [(1, 10), (5, 2)])
