--- a/agatetack/admission/service_queue.py
+++ b/agatetack/admission/service_queue.py
@@ -360,7 +360,7 @@
                 target
                 for target in free
                 if target.free_slot_at <= latest
-                and self.policy.has_room(target, now)
+                and self.policy.has_free_slot(target, now)
             ]
         if not wanted.wait:
             free = self.policy.spare(free, now)
--- a/agatetack/balance/fleet_view.py
+++ b/agatetack/balance/fleet_view.py
@@ -5,7 +5,7 @@
 from collections.abc import Sequence
 
 from agatetack.balance.learning import FAILURES_TO_LEAVE, LearningPolicy
-from agatetack.balance.room import LearnedKnee, SlotRoom, is_above_knee
+from agatetack.balance.slot_policy import LearnedKnee, SlotPolicy, is_above_knee
 from agatetack.ids import Deadline
 from agatetack.settings.model import Settings
 from agatetack.targets.load import USUAL_SLOWNESS
@@ -120,18 +120,18 @@
     """Chooses the target where the request is expected to finish first.
 
     Attributes:
-        room: Decides how many concurrent requests each target should have.
+        slot_policy: Limits the concurrent requests at each target.
     """
 
     def __init__(
         self,
         settings: Settings,
         rng: random.Random,
-        room: SlotRoom | None = None,
+        slot_policy: SlotPolicy | None = None,
     ):
-        """Fill targets as `room` says; for the most throughput if None."""
+        """Fill targets by `slot_policy`; for the most throughput if None."""
         super().__init__(settings, rng)
-        self.room = room or LearnedKnee()
+        self.slot_policy = slot_policy or LearnedKnee()
 
     def choose(
         self, candidates: Sequence[TargetState], now: Deadline
@@ -151,15 +151,15 @@
         ties = [
             target
             for target, cost in zip(candidates, costs, strict=True)
-            if cost <= near and self.has_room(target, now)
+            if cost <= near and self.has_free_slot(target, now)
         ]
         return self.rng.choice(ties) if ties else None
 
-    def has_room(self, target: TargetState, now: Deadline) -> bool:
+    def has_free_slot(self, target: TargetState, now: Deadline) -> bool:
         """Return whether a request would not wait at `target`."""
         if now < target.free_slot_at:
             return False
-        most = self.room.most(target, now) + MOST_WAITING
+        most = self.slot_policy.max_requests(target, now) + MOST_WAITING
         return self.expected_load(target, now) < most
 
     def spare(
@@ -196,7 +196,7 @@
             return self.cost(target, now, typical)
         if now < learned.trial_at or target.in_flight:
             return math.inf
-        if not self.has_room(target, now):
+        if not self.has_free_slot(target, now):
             return math.inf
         # One request shows whether it has recovered.
         self.postpone_trial(target, now)
@@ -231,7 +231,7 @@
     ) -> None:
         """Update the estimates from a response."""
         super().answered(target, latency, waiting, now)
-        self.room.answered(target, latency, waiting, now)
+        self.slot_policy.answered(target, latency, waiting, now)
         self._note_end(target, 0.0, now)
 
     def shed(self, target: TargetState, now: Deadline) -> None:
--- a/agatetack/balance/policy.py
+++ b/agatetack/balance/policy.py
@@ -33,7 +33,7 @@
         """
         return candidates
 
-    def has_room(self, target: TargetState, now: Deadline) -> bool:
+    def has_free_slot(self, target: TargetState, now: Deadline) -> bool:
         """Return whether a request would not wait at `target`."""
         return True
 
--- a/agatetack/balance/room.py
+++ b/agatetack/balance/slot_policy.py
@@ -51,11 +51,11 @@
 each target at each choice."""
 
 
-class SlotRoom(abc.ABC):
+class SlotPolicy(abc.ABC):
     """Determines how many concurrent requests targets should have."""
 
     @abc.abstractmethod
-    def most(self, target: TargetState, now: Deadline) -> int:
+    def max_requests(self, target: TargetState, now: Deadline) -> int:
         """Return how many requests `target` should have at most."""
 
     def answered(  # noqa: B027
@@ -71,10 +71,10 @@
         """
 
 
-class AllSlots(SlotRoom):
+class AllSlots(SlotPolicy):
     """Fills every slot."""
 
-    def most(self, target: TargetState, now: Deadline) -> int:
+    def max_requests(self, target: TargetState, now: Deadline) -> int:
         """Return the target's slots."""
         return target.slots
 
@@ -150,8 +150,8 @@
     def _usual_log(self) -> float:
         """Return the mean logarithm at full speed, without outliers."""
         middle = statistics.median(self.usual)
-        most = OUTLIER_SPREADS * TIME_SPREAD
-        near = [log for log in self.usual if abs(log - middle) <= most]
+        max_deviation = OUTLIER_SPREADS * TIME_SPREAD
+        near = [log for log in self.usual if abs(log - middle) <= max_deviation]
         return statistics.fmean(near or [middle])
 
     def _kept(self, now: Deadline) -> float:
@@ -159,7 +159,7 @@
         return 0.5 ** ((now - self.known_at) / FORGET_SECONDS)
 
 
-class LearnedKnee(SlotRoom):
+class LearnedKnee(SlotPolicy):
     """Fills the number of slots at which targets have the most throughput.
 
     A target of six slots that slows down above four completes 4 requests in the
@@ -175,7 +175,7 @@
         """Start without estimates."""
         self.services: dict[ServiceId, KneeEstimate] = {}
 
-    def most(self, target: TargetState, now: Deadline) -> int:
+    def max_requests(self, target: TargetState, now: Deadline) -> int:
         """Return the number of slots with the most throughput."""
         fast = int(KNEE_SHARE * target.slots)
         estimate = self.services.get(target.service)
--- a/agatetack/balance/test_room.py
+++ b/agatetack/balance/test_slot_policy.py
@@ -10,7 +10,7 @@
 
 import pytest
 
-from agatetack.balance.room import FORGET_SECONDS, AllSlots, LearnedKnee
+from agatetack.balance.slot_policy import FORGET_SECONDS, AllSlots, LearnedKnee
 from agatetack.targets.state import TargetState
 
 SERVICE_SECONDS = 0.26
@@ -28,7 +28,7 @@
     return target
 
 
-def answer(room, target, factor, rng, now, ahead=None):
+def answer(slot_policy, target, factor, rng, now, ahead=None):
     """Answer one request, slower by `factor` above 0.8 of the slots."""
     if ahead is None:
         ahead = rng.randrange(target.slots)
@@ -37,11 +37,11 @@
         seconds *= factor
     if rng.random() < SLOW_SHARE:
         seconds *= SLOW_FACTOR
-    room.answered(target, seconds, ahead, now)
+    slot_policy.answered(target, seconds, ahead, now)
 
 
 @pytest.mark.parametrize(
-    ("slots", "factor", "most"),
+    ("slots", "factor", "max_requests"),
     [
         (6, 1.7, 4),
         (6, 1.0, 6),
@@ -56,17 +56,17 @@
         (1, 1.0, 1),
     ],
 )
-def test_targets_are_filled_as_far_as_they_do_more(slots, factor, most):
+def test_targets_are_filled_as_far_as_they_do_more(slots, factor, max_requests):
     target = make_target(slots)
     wrong = 0
     for seed in range(20):
         rng = random.Random(seed)
-        room = LearnedKnee()
+        slot_policy = LearnedKnee()
         for step in range(300):
-            answer(room, target, factor, rng, step * 0.1)
-        wrong += room.most(target, 30.0) != most
+            answer(slot_policy, target, factor, rng, step * 0.1)
+        wrong += slot_policy.max_requests(target, 30.0) != max_requests
     assert wrong == 0
-    assert AllSlots().most(target, 0.0) == slots
+    assert AllSlots().max_requests(target, 0.0) == slots
 
 
 @pytest.mark.parametrize(("seeds", "least"), [(20, 18), (200, 180)])
@@ -75,11 +75,11 @@
     known = 0
     for seed in range(seeds):
         rng = random.Random(seed)
-        room = LearnedKnee()
+        slot_policy = LearnedKnee()
         for _ in range(20):
-            answer(room, target, 1.7, rng, 0.0, ahead=1)
-            answer(room, target, 1.7, rng, 0.0, ahead=4)
-        known += room.most(target, 0.0) == 4
+            answer(slot_policy, target, 1.7, rng, 0.0, ahead=1)
+            answer(slot_policy, target, 1.7, rng, 0.0, ahead=4)
+        known += slot_policy.max_requests(target, 0.0) == 4
     # Nine out of ten hosts must have learned it.
     assert known >= least
 
@@ -89,13 +89,13 @@
     changes = 0
     for factor in (1.0, 1.7):
         rng = random.Random(3)
-        room = LearnedKnee()
+        slot_policy = LearnedKnee()
         for _ in range(60):
-            answer(room, target, factor, rng, 0.0)
-        before = room.most(target, 0.0)
+            answer(slot_policy, target, factor, rng, 0.0)
+        before = slot_policy.max_requests(target, 0.0)
         for step in range(600):
-            answer(room, target, factor, rng, step * 0.1)
-            after = room.most(target, step * 0.1)
+            answer(slot_policy, target, factor, rng, step * 0.1)
+            after = slot_policy.max_requests(target, step * 0.1)
             changes += after != before
             before = after
     assert changes <= 2
@@ -104,13 +104,13 @@
 def test_what_was_learned_is_forgotten_and_each_service_has_its_own():
     target, other = make_target(6), make_target(6, "other")
     rng = random.Random(1)
-    room = LearnedKnee()
+    slot_policy = LearnedKnee()
     for _ in range(100):
-        answer(room, target, 1.7, rng, 0.0)
-        answer(room, other, 1.0, rng, 0.0)
-    assert room.most(target, 0.0) == 4
-    assert room.most(other, 0.0) == 6
-    assert room.most(target, 12 * FORGET_SECONDS) == 6
+        answer(slot_policy, target, 1.7, rng, 0.0)
+        answer(slot_policy, other, 1.0, rng, 0.0)
+    assert slot_policy.max_requests(target, 0.0) == 4
+    assert slot_policy.max_requests(other, 0.0) == 6
+    assert slot_policy.max_requests(target, 12 * FORGET_SECONDS) == 6
     # A request that waited at the target does not count.
-    room.answered(target, 9.0, 6.0, 0.0)
-    assert room.most(target, 0.0) == 4
+    slot_policy.answered(target, 9.0, 6.0, 0.0)
+    assert slot_policy.max_requests(target, 0.0) == 4
