--- a/agatetack/admission/limits.py
+++ b/agatetack/admission/limits.py
@@ -18,8 +18,10 @@
 
     def __init__(self, settings: Settings):
         """Take the bounds of the limits from `settings`."""
-        self.least = settings.admission.min_target_limit
-        self.most = max(self.least, settings.admission.max_target_limit)
+        self.min_limit = settings.admission.min_target_limit
+        self.max_limit = max(
+            self.min_limit, settings.admission.max_target_limit
+        )
 
     def answered(self, target: TargetState) -> None:
         """Record a response: raise the limit, or cut it if it is crowded."""
@@ -39,6 +41,6 @@
         self._set(target, target.learned.limit * SHED_FACTOR)
 
     def _set(self, target: TargetState, limit: float) -> None:
-        limit = min(max(limit, self.least), self.most)
+        limit = min(max(limit, self.min_limit), self.max_limit)
         target.learned.limit = limit
         target.limit = int(limit)
--- a/agatetack/admission/rates.py
+++ b/agatetack/admission/rates.py
@@ -28,10 +28,10 @@
         """
         rate = route.requests_per_second / max(1, self.fleet_size())
         now = trio.current_time()
-        most = max(1.0, rate * BURST_SECONDS)
+        max_tokens = max(1.0, rate * BURST_SECONDS)
         elapsed = now - self.filled_at.get(route.id, now)
-        tokens = self.tokens.get(route.id, most) + elapsed * rate
-        tokens = min(most, tokens)
+        tokens = self.tokens.get(route.id, max_tokens) + elapsed * rate
+        tokens = min(max_tokens, tokens)
         self.filled_at[route.id] = now
         if tokens < 1.0:
             self.tokens[route.id] = tokens
--- a/agatetack/admission/service_queue.py
+++ b/agatetack/admission/service_queue.py
@@ -110,18 +110,18 @@
         route = wanted.route
         newest_first = self._order(now) is Order.NEWEST_FIRST
         ahead = 0 if newest_first else self._ahead(wanted)
-        most_in_time = self._most_in_time(wanted, now)
-        if most_in_time <= self._ahead(wanted):
+        max_in_time = self._max_sends_in_time(wanted, now)
+        if max_in_time <= self._ahead(wanted):
             oldest = queue.oldest_of_longest(route.id)
-            if not newest_first or oldest is None or not most_in_time:
+            if not newest_first or oldest is None or not max_in_time:
                 return self._refuse_for_share(wanted, now)
             # Newest first, the oldest waiter is served last, which is too late.
             self._push_out(oldest, self._refuse_for_share(wanted, now))
         wait = ahead * (self.gap or 0.0)
         if now + wait + self.quick_latency > wanted.deadline:
             return self._late(now, "The queue is longer than the time left.")
-        most = route.max_queue or self.settings.admission.max_queue
-        if queue.route_sizes.get(route.id, 0) < most:
+        queue_limit = route.max_queue or self.settings.admission.max_queue
+        if queue.route_sizes.get(route.id, 0) < queue_limit:
             return None
         oldest = queue.oldest_of_longest(route.id)
         if newest_first and oldest is not None:
@@ -139,7 +139,7 @@
         targets = self._usable(wanted.route)
         return min(self.share.opens_at(target, now) for target in targets)
 
-    def _most_in_time(self, wanted: PermitRequest, now: Deadline) -> float:
+    def _max_sends_in_time(self, wanted: PermitRequest, now: Deadline) -> float:
         """Return how many requests this host's share allows in time."""
         until = Deadline(wanted.deadline - self.quick_latency)
         return sum(
@@ -221,8 +221,8 @@
     def retry_at(self, now: Deadline) -> Deadline:
         """Return when a refused caller should retry."""
         wait = self.queues[Priority.NORMAL].size * (self.gap or 0.0)
-        least = self.settings.admission.retry_after_seconds
-        return Deadline(now + max(least, wait))
+        min_wait = self.settings.admission.retry_after_seconds
+        return Deadline(now + max(min_wait, wait))
 
     def come_back_at(self, route: Route, now: Deadline) -> Deadline:
         """Return when a caller should retry that the targets refused.
--- a/agatetack/balance/cold_share.py
+++ b/agatetack/balance/cold_share.py
@@ -20,7 +20,7 @@
 from agatetack.targets.registry import TargetRegistry
 from agatetack.targets.state import TargetState
 
-MOST_OWNERS = 3
+MAX_OWNERS = 3
 """Number of hosts that may consider themselves a target's owner in the same
 second: the owner by the host list before a host joined or left, the owner by
 the list after it, and a restarted host that has lost track of what it sent."""
@@ -119,9 +119,9 @@
         At this rate it sends at most one request more in any one second.
         """
         limits = self.limits
-        most = target.warm_up_rate * limits.cold_rate_ratio
-        most += limits.cold_rate_slack
-        return min(target.warm_up_rate, most / MOST_OWNERS - 1)
+        max_rate = target.warm_up_rate * limits.cold_rate_ratio
+        max_rate += limits.cold_rate_slack
+        return min(target.warm_up_rate, max_rate / MAX_OWNERS - 1)
 
     def _find(self, target: TargetState, now: Deadline) -> OwnedTarget:
         owned = self.targets.get(target.process)
--- a/agatetack/balance/expected_wait.py
+++ b/agatetack/balance/expected_wait.py
@@ -32,7 +32,7 @@
 learns of it first.
 """
 
-MOST_WEIGHED = 12
+MAX_CANDIDATES = 12
 """Maximum number of candidates that are compared for one choice, which bounds
 the cost of the choice."""
 
@@ -57,7 +57,7 @@
         self, candidates: Sequence[TargetState], now: Deadline
     ) -> TargetState | None:
         """Return one of the nearly best candidates, or one due for a trial."""
-        if len(candidates) > MOST_WEIGHED:
+        if len(candidates) > MAX_CANDIDATES:
             candidates = self._draw(candidates)
         typical = self.update_typical(candidates, now)
         limit = typical * self.settings.balance.slow_ratio
@@ -130,8 +130,8 @@
     def _draw(self, candidates: Sequence[TargetState]) -> list[TargetState]:
         # A contiguous run from a random start is cheaper than a random sample.
         start = self.rng.randrange(len(candidates))
-        drawn = list(candidates[start : start + MOST_WEIGHED])
-        drawn += candidates[: MOST_WEIGHED - len(drawn)]
+        drawn = list(candidates[start : start + MAX_CANDIDATES])
+        drawn += candidates[: MAX_CANDIDATES - len(drawn)]
         return drawn
 
 
--- a/agatetack/balance/fleet_view.py
+++ b/agatetack/balance/fleet_view.py
@@ -11,7 +11,7 @@
 from agatetack.targets.load import USUAL_SLOWNESS
 from agatetack.targets.state import TargetState
 
-LEAST_TYPICAL = 0.1
+MIN_TYPICAL_SECONDS = 0.1
 """Minimum service time, in seconds, for the computation of costs.
 
 A host that has just started has measured no service time. With the default of a
@@ -63,7 +63,7 @@
 connections for 1,200 requests.
 """
 
-MOST_WAITING = 0
+MAX_WAITING = 0
 """Maximum number of requests that may wait at a target, from all hosts.
 
 A request that waits at a host goes to the first target with a free slot, and
@@ -142,7 +142,7 @@
         host goes to the first target with a free slot, and is answered sooner
         than by a slow target.
         """
-        typical = max(self.update_typical(candidates, now), LEAST_TYPICAL)
+        typical = max(self.update_typical(candidates, now), MIN_TYPICAL_SECONDS)
         limit = typical * self.settings.balance.slow_ratio
         costs = [self._weigh(t, now, typical, limit) for t in candidates]
         if min(costs) == math.inf:
@@ -159,8 +159,8 @@
         """Return whether a request would not wait at `target`."""
         if now < target.free_slot_at:
             return False
-        most = self.slot_policy.max_requests(target, now) + MOST_WAITING
-        return self.expected_load(target, now) < most
+        max_load = self.slot_policy.max_requests(target, now) + MAX_WAITING
+        return self.expected_load(target, now) < max_load
 
     def spare(
         self, candidates: Sequence[TargetState], now: Deadline
--- a/agatetack/balance/learning.py
+++ b/agatetack/balance/learning.py
@@ -66,7 +66,7 @@
 to which all targets are cold, would keep sending to those that shed.
 """
 
-LEAST_RAMP = 0.05
+MIN_RAMP_PROBABILITY = 0.05
 """Probability that a target which has just started is not treated as cold in
 one choice. It grows while the target warms up."""
 
@@ -123,7 +123,9 @@
             times += COLD_COST if target.is_warming_up(now) else 0.0
         elif target.status is TargetStatus.COLD:
             age = now - target.status_since
-            ramp = max(LEAST_RAMP, age / self.settings.balance.cold_seconds)
+            ramp = max(
+                MIN_RAMP_PROBABILITY, age / self.settings.balance.cold_seconds
+            )
             if self.rng.random() > ramp:
                 times += COLD_COST
         trying = learned.shed_count and learned.sent
--- a/agatetack/balance/policies.py
+++ b/agatetack/balance/policies.py
@@ -46,8 +46,8 @@
         self, candidates: Sequence[TargetState], now: Deadline
     ) -> TargetState | None:
         """Return one of the candidates with the fewest own requests."""
-        least = min(target.in_flight for target in candidates)
-        ties = [t for t in candidates if t.in_flight == least]
+        min_in_flight = min(target.in_flight for target in candidates)
+        ties = [t for t in candidates if t.in_flight == min_in_flight]
         return self.rng.choice(ties)
 
 
--- a/agatetack/balance/slot_policy.py
+++ b/agatetack/balance/slot_policy.py
@@ -25,7 +25,7 @@
 TIME_SPREAD = 0.33
 """Standard deviation of the logarithm of a request's time."""
 
-LEAST_ANSWERS = 5
+MIN_FULL_SPEED_ANSWERS = 5
 """Minimum number of responses at full speed before others are compared with
 them."""
 
@@ -34,7 +34,7 @@
 request on a slow machine takes five times as long, which says nothing about the
 slots."""
 
-USUAL_ANSWERS = 32
+MAX_FULL_SPEED_ANSWERS = 32
 """Number of latest responses at full speed that others are compared with."""
 
 FORGET_SECONDS = 60.0
@@ -96,7 +96,7 @@
     """
 
     usual: deque[float] = dataclasses.field(
-        default_factory=lambda: deque(maxlen=USUAL_ANSWERS)
+        default_factory=lambda: deque(maxlen=MAX_FULL_SPEED_ANSWERS)
     )
     logs: list[float] = dataclasses.field(
         default_factory=lambda: [0.0] * len(FACTORS)
@@ -135,7 +135,7 @@
 
     def note_above(self, seconds: float, now: Deadline) -> None:
         """Add the time of a request that was started above the knee."""
-        if len(self.usual) < LEAST_ANSWERS:
+        if len(self.usual) < MIN_FULL_SPEED_ANSWERS:
             return
         kept = self._kept(now)
         self.known_at = now
--- a/agatetack/balance/test_cold_share.py
+++ b/agatetack/balance/test_cold_share.py
@@ -84,7 +84,7 @@
         await trio.sleep(STEP_SECONDS)
 
 
-def most_in_a_second(times):
+def max_in_a_second(times):
     return max((sum(t <= u < t + 1.0 for u in times) for t in times), default=0)
 
 
@@ -135,7 +135,7 @@
     sent = {}
     chill(registry)
     await press(shares, registry, WARM_UP_SECONDS, 20, sent)
-    assert all(most_in_a_second(times) <= BOUND for times in sent.values())
+    assert all(max_in_a_second(times) <= BOUND for times in sent.values())
     # The owners do send within their limit.
     if views is same_lists:
         assert len(sent) == len(registry.targets(SERVICE))
@@ -152,7 +152,7 @@
     for _ in range(3):
         shares = [make_share(registry, h.id, hosts) for h in hosts]
         await press(shares, registry, 0.6, 20, sent)
-    assert all(most_in_a_second(times) <= BOUND for times in sent.values())
+    assert all(max_in_a_second(times) <= BOUND for times in sent.values())
 
 
 @pytest.mark.parametrize("count", [17, 96])
@@ -176,7 +176,7 @@
             sent.append(trio.current_time())
         await trio.sleep(1 / 60)
     assert len(sent) >= 11
-    assert most_in_a_second(sent) <= BOUND
+    assert max_in_a_second(sent) <= BOUND
 
 
 async def test_nobody_sends_while_it_is_not_known_how_cold(autojump_clock):
--- a/agatetack/balance/test_fleet_view.py
+++ b/agatetack/balance/test_fleet_view.py
@@ -5,7 +5,7 @@
 import pytest
 
 from agatetack.balance.fleet_view import (
-    MOST_WAITING,
+    MAX_WAITING,
     FleetView,
 )
 from agatetack.ids import Deadline
@@ -122,14 +122,14 @@
     assert chosen == {"domain-a" if stays else "domain-b"}
 
 
-@pytest.mark.parametrize("waiting", [MOST_WAITING - 1, MOST_WAITING])
+@pytest.mark.parametrize("waiting", [MAX_WAITING - 1, MAX_WAITING])
 async def test_nothing_is_sent_to_targets_that_are_full(
     autojump_clock, waiting
 ):
     targets = make_targets()
     for target in targets:
         target.peer_in_flight = target.slots + waiting
-    full = waiting >= MOST_WAITING
+    full = waiting >= MAX_WAITING
     assert (choose(targets) == {None}) is full
 
 
--- a/agatetack/balance/test_looked_at_cold_targets.py
+++ b/agatetack/balance/test_looked_at_cold_targets.py
@@ -25,7 +25,7 @@
     host,
     make_registry,
     make_share,
-    most_in_a_second,
+    max_in_a_second,
 )
 from agatetack.ids import Deadline
 from agatetack.measure.budget import TokenBucket
@@ -189,4 +189,4 @@
     assert len(fleet.sent) == TARGETS
     for times in fleet.sent.values():
         cold = [at for at in times if at >= fleet.cold_at]
-        assert most_in_a_second(cold) <= BOUND
+        assert max_in_a_second(cold) <= BOUND
--- a/agatetack/balance/test_rate_share.py
+++ b/agatetack/balance/test_rate_share.py
@@ -41,7 +41,7 @@
 LONG_SECONDS = 100.0
 """Uptime of hosts that know all they sent within the last window."""
 
-LEAST_USE = 0.8
+MIN_USE_RATIO = 0.8
 """Minimum ratio of the rate that hosts use if they have more requests."""
 
 
@@ -115,13 +115,13 @@
     return sent
 
 
-def most_in_a_window(times):
-    most = first = 0
+def max_in_a_window(times):
+    max_count = first = 0
     for last, at in enumerate(times):
         while times[first] <= at - WINDOW_SECONDS:
             first += 1
-        most = max(most, last - first + 1)
-    return most
+        max_count = max(max_count, last - first + 1)
+    return max_count
 
 
 @pytest.mark.parametrize("count", HOSTS)
@@ -132,9 +132,9 @@
         sender.tell(rate)
     seconds = 30.0
     sent = await press(fleet, seconds)
-    assert most_in_a_window(sent) <= bound(rate)
+    assert max_in_a_window(sent) <= bound(rate)
     # A host with enough requests loses only the test's polling interval.
-    assert len(sent) >= LEAST_USE * rate * seconds
+    assert len(sent) >= MIN_USE_RATIO * rate * seconds
 
 
 def one_less(hosts):
@@ -159,7 +159,7 @@
     fleet = await make_fleet(count, views)
     for sender in fleet:
         sender.tell(rate)
-    assert most_in_a_window(await press(fleet, 20.0)) <= bound(rate)
+    assert max_in_a_window(await press(fleet, 20.0)) <= bound(rate)
 
 
 def everybody(number):
@@ -191,7 +191,7 @@
                 told.append(sender)
         # Requests of hosts that do not yet know of the limit do not count.
         sent += await press(told, STEP_SECONDS)
-    assert most_in_a_window(sent) <= bound(rate)
+    assert max_in_a_window(sent) <= bound(rate)
 
 
 @pytest.mark.parametrize("count", [2, 14, 96])
@@ -207,7 +207,7 @@
         for sender in fleet:
             sender.tell(rate)
         sent += await press(fleet, 2.0)
-    assert most_in_a_window(sent) <= bound(rate)
+    assert max_in_a_window(sent) <= bound(rate)
 
 
 @pytest.mark.parametrize("rate", RATES)
@@ -222,7 +222,7 @@
         for sender in fleet:
             sender.listed[:] = [each for each in hosts if each is not gone]
         sent += await press(fleet, 1.0)
-    assert most_in_a_window(sent) <= bound(rate)
+    assert max_in_a_window(sent) <= bound(rate)
 
 
 @pytest.mark.parametrize(
@@ -233,10 +233,10 @@
     for sender in fleet:
         sender.tell(before)
     sent = await press(fleet, 10.0)
-    assert most_in_a_window(sent) <= bound(before)
+    assert max_in_a_window(sent) <= bound(before)
     for sender in fleet:
         sender.tell(after)
-    assert most_in_a_window(await press(fleet, 10.0)) <= bound(after)
+    assert max_in_a_window(await press(fleet, 10.0)) <= bound(after)
 
 
 async def test_a_rate_that_ends_and_comes_again(autojump_clock):
@@ -249,7 +249,7 @@
     assert len(await press(fleet, 1.0)) >= 14
     for sender in fleet:
         sender.tell(1.3)
-    assert most_in_a_window(await press(fleet, 10.0)) <= bound(1.3)
+    assert max_in_a_window(await press(fleet, 10.0)) <= bound(1.3)
 
 
 @pytest.mark.parametrize("rate", RATES)
@@ -263,7 +263,7 @@
         sender.tell(rate)
     seconds = SILENT_SECONDS + 40.0
     sent = await press(fleet, seconds)
-    assert most_in_a_window(sent) <= bound(rate)
+    assert max_in_a_window(sent) <= bound(rate)
     quota = split_rate(rate, count - 1, count)
     windows = int(40.0 / quota.window)
     idle = [s for s in fleet if not s.share.targets[s.target.process].quota.own]
@@ -361,7 +361,7 @@
     for sender in fleet:
         sender.tell(1.3)
     sent = await press(fleet[:12], 20.0)
-    assert len(sent) >= LEAST_USE * 1.3 * 20.0
+    assert len(sent) >= MIN_USE_RATIO * 1.3 * 20.0
     for sender in fleet:
         sender.tell(1.3)
     assert await press(fleet[12:], SILENT_SECONDS) == []
@@ -383,17 +383,17 @@
 
 
 @pytest.mark.parametrize(
-    ("rate", "seconds", "most"),
+    ("rate", "seconds", "max_count"),
     [(0.2, 2.0, 1), (0.2, 5.0, 2), (1.3, 5.0, 7), (1.3, 0.0, 1)],
 )
 async def test_a_host_knows_what_it_may_send_in_time(
-    autojump_clock, rate, seconds, most
+    autojump_clock, rate, seconds, max_count
 ):
     # A single host has the whole rate and may send immediately.
     sender = (await make_fleet(1))[0]
     sender.tell(rate)
     now = Deadline(trio.current_time())
     until = Deadline(now + seconds + 0.001)
-    assert sender.share.most_until(sender.target, now, until) == most
+    assert sender.share.most_until(sender.target, now, until) == max_count
     sender.share.taken(sender.target)
-    assert sender.share.most_until(sender.target, now, until) == most - 1
+    assert sender.share.most_until(sender.target, now, until) == max_count - 1
--- a/agatetack/balance/test_slot_policy.py
+++ b/agatetack/balance/test_slot_policy.py
@@ -69,8 +69,8 @@
     assert AllSlots().max_requests(target, 0.0) == slots
 
 
-@pytest.mark.parametrize(("seeds", "least"), [(20, 18), (200, 180)])
-def test_it_is_known_after_some_twenty_answers_under_load(seeds, least):
+@pytest.mark.parametrize(("seeds", "min_known"), [(20, 18), (200, 180)])
+def test_it_is_known_after_some_twenty_answers_under_load(seeds, min_known):
     target = make_target(6)
     known = 0
     for seed in range(seeds):
@@ -81,7 +81,7 @@
             answer(slot_policy, target, 1.7, rng, 0.0, ahead=4)
         known += slot_policy.max_requests(target, 0.0) == 4
     # Nine out of ten hosts must have learned it.
-    assert known >= least
+    assert known >= min_known
 
 
 def test_it_does_not_flap():
--- a/agatetack/balance/test_targets_that_push_back.py
+++ b/agatetack/balance/test_targets_that_push_back.py
@@ -23,7 +23,7 @@
 PER_TARGET = 20.0
 """Requests per second that a target of two slots can handle."""
 
-MOST_IN_THAT_TIME = 2
+MAX_DURING_PUSHBACK = 2
 """Maximum number of requests that may still arrive from one host during the
 pushback delay."""
 
@@ -58,7 +58,7 @@
             for target in pushing
         ]
         assert all(target.turned_away for target in pushing)
-        assert max(most) <= MOST_IN_THAT_TIME
+        assert max(most) <= MAX_DURING_PUSHBACK
 
 
 async def _turned_away_by_all(fleet):
@@ -193,5 +193,5 @@
         for target in fleet.targets[:pushing]:
             assert (
                 fleet.after_pushback(target, TOLD_SECONDS, 1.0)
-                <= MOST_IN_THAT_TIME
+                <= MAX_DURING_PUSHBACK
             )
