--- a/agatetack/balance/slot_policy.py
+++ b/agatetack/balance/slot_policy.py
@@ -9,7 +9,7 @@
 from agatetack.ids import Deadline, ServiceId
 from agatetack.targets.state import TargetState
 
-KNEE_SHARE = 0.8
+KNEE_RATIO = 0.8
 """Ratio of its slots, called the knee, up to which a target runs requests at
 full speed.
 
@@ -17,19 +17,26 @@
 three slots, only the last slot is above it.
 """
 
-FACTORS = {1.0: 0.42, 1.2: 0.05, 1.35: 0.05, 1.7: 0.42, 2.0: 0.03, 2.6: 0.03}
+SLOWDOWN_PRIORS = {
+    1.0: 0.42,
+    1.2: 0.05,
+    1.35: 0.05,
+    1.7: 0.42,
+    2.0: 0.03,
+    2.6: 0.03,
+}
 """Factors by which a request may take longer above the knee, with their prior
 probabilities. In half of the services requests take 1.7 times as long, in
 nearly all others no longer at all."""
 
-TIME_SPREAD = 0.33
+LOG_TIME_DEVIATION = 0.33
 """Standard deviation of the logarithm of a request's time."""
 
 MIN_FULL_SPEED_ANSWERS = 5
 """Minimum number of responses at full speed before others are compared with
 them."""
 
-OUTLIER_SPREADS = 2.0
+OUTLIER_DEVIATIONS = 2.0
 """Number of standard deviations from which a time is treated as an outlier. A
 request on a slow machine takes five times as long, which says nothing about the
 slots."""
@@ -37,16 +44,16 @@
 MAX_FULL_SPEED_ANSWERS = 32
 """Number of latest responses at full speed that others are compared with."""
 
-FORGET_SECONDS = 60.0
+HALF_LIFE_SECONDS = 60.0
 """Half-life of the estimate while no request runs above the knee, so that the
 last slots are tried again if the targets of a service became better."""
 
 
-EVEN_ODDS = 0.5
+DECISION_PROBABILITY = 0.5
 """The last slots are left empty if the probability that they add no throughput
 is above this."""
 
-DECIDED_SECONDS = 1.0
+DECISION_SECONDS = 1.0
 """How long a decision is cached if no response arrives, as it is needed for
 each target at each choice."""
 
@@ -83,80 +90,92 @@
 class KneeEstimate:
     """Estimates how much the targets of one service slow down above the knee.
 
-    It is a Bayesian estimate: the probability of each of `FACTORS` follows from
-    how well the factor explains the responses.
+    It is a Bayesian estimate: the probability of each of `SLOWDOWN_PRIORS`
+    follows from how well the factor explains the responses.
 
     Attributes:
-        usual: Logarithms of the latest times at full speed.
-        logs: Log-likelihood of the responses above the knee under each of
-            `FACTORS`.
-        known_at: When the last of these responses arrived.
-        decisions: Cached results of `is_above`, by limit.
+        full_speed_logs: Logarithms of the latest times at full speed.
+        log_likelihoods: Log-likelihood of the responses above the knee under
+            each of `SLOWDOWN_PRIORS`.
+        last_above_at: When the last of these responses arrived.
+        decisions: Cached results of `slows_down_above`, by limit.
         decided_until: When the cached results expire.
     """
 
-    usual: deque[float] = dataclasses.field(
+    full_speed_logs: deque[float] = dataclasses.field(
         default_factory=lambda: deque(maxlen=MAX_FULL_SPEED_ANSWERS)
     )
-    logs: list[float] = dataclasses.field(
-        default_factory=lambda: [0.0] * len(FACTORS)
+    log_likelihoods: list[float] = dataclasses.field(
+        default_factory=lambda: [0.0] * len(SLOWDOWN_PRIORS)
     )
-    known_at: Deadline = Deadline(-math.inf)
+    last_above_at: Deadline = Deadline(-math.inf)
     decisions: dict[float, bool] = dataclasses.field(default_factory=dict)
     decided_until: Deadline = Deadline(-math.inf)
 
-    def is_above(self, limit: float, now: Deadline) -> bool:
+    def slows_down_above(self, limit: float, now: Deadline) -> bool:
         """Return whether requests probably slow down by more than `limit`."""
-        if not 0.0 < self.decided_until - now <= DECIDED_SECONDS:
+        if not 0.0 < self.decided_until - now <= DECISION_SECONDS:
             self.decisions.clear()
-            self.decided_until = Deadline(now + DECIDED_SECONDS)
+            self.decided_until = Deadline(now + DECISION_SECONDS)
         decided = self.decisions.get(limit)
         if decided is None:
-            decided = self.likely_above(limit, now) > EVEN_ODDS
+            decided = self.probability_above(limit, now) > DECISION_PROBABILITY
             self.decisions[limit] = decided
         return decided
 
-    def likely_above(self, limit: float, now: Deadline) -> float:
+    def probability_above(self, limit: float, now: Deadline) -> float:
         """Return the probability that the factor is greater than `limit`."""
-        kept = self._kept(now)
-        best = max(self.logs)
+        decay = self._decay(now)
+        best = max(self.log_likelihoods)
         total = above = 0.0
         for (factor, share), log in zip(
-            FACTORS.items(), self.logs, strict=True
+            SLOWDOWN_PRIORS.items(), self.log_likelihoods, strict=True
         ):
-            weight = share * math.exp((log - best) * kept)
+            weight = share * math.exp((log - best) * decay)
             total += weight
             above += weight * (factor > limit)
         return above / total
 
-    def note_usual(self, seconds: float) -> None:
+    def note_full_speed(self, seconds: float) -> None:
         """Add the time of a request that was started below the knee."""
-        self.usual.append(math.log(seconds))
+        self.full_speed_logs.append(math.log(seconds))
 
     def note_above(self, seconds: float, now: Deadline) -> None:
         """Add the time of a request that was started above the knee."""
-        if len(self.usual) < MIN_FULL_SPEED_ANSWERS:
+        if len(self.full_speed_logs) < MIN_FULL_SPEED_ANSWERS:
             return
-        kept = self._kept(now)
-        self.known_at = now
+        decay = self._decay(now)
+        self.last_above_at = now
         self.decisions.clear()
-        late = math.log(seconds) - self._usual_log()
+        log_slowdown = math.log(seconds) - self._full_speed_mean()
         # The mean that the time is compared with has a standard error as well.
-        spread = TIME_SPREAD * math.sqrt(1 + 1 / len(self.usual))
-        for number, factor in enumerate(FACTORS):
-            off = min(abs(late - math.log(factor)) / spread, OUTLIER_SPREADS)
-            self.logs[number] = self.logs[number] * kept - off * off / 2
-
-    def _usual_log(self) -> float:
+        spread = LOG_TIME_DEVIATION * math.sqrt(
+            1 + 1 / len(self.full_speed_logs)
+        )
+        for number, factor in enumerate(SLOWDOWN_PRIORS):
+            deviations = min(
+                abs(log_slowdown - math.log(factor)) / spread,
+                OUTLIER_DEVIATIONS,
+            )
+            self.log_likelihoods[number] = (
+                self.log_likelihoods[number] * decay
+                - deviations * deviations / 2
+            )
+
+    def _full_speed_mean(self) -> float:
         """Return the mean logarithm at full speed, without outliers."""
-        middle = statistics.median(self.usual)
-        max_deviation = OUTLIER_SPREADS * TIME_SPREAD
-        near = [log for log in self.usual if abs(log - middle) <= max_deviation]
+        middle = statistics.median(self.full_speed_logs)
+        max_deviation = OUTLIER_DEVIATIONS * LOG_TIME_DEVIATION
+        near = [
+            log
+            for log in self.full_speed_logs
+            if abs(log - middle) <= max_deviation
+        ]
         return statistics.fmean(near or [middle])
 
-    def _kept(self, now: Deadline) -> float:
+    def _decay(self, now: Deadline) -> float:
         """Return the decay factor of the log-likelihoods."""
-        return 0.5 ** ((now - self.known_at) / FORGET_SECONDS)
+        return 0.5 ** ((now - self.last_above_at) / HALF_LIFE_SECONDS)
 
 
 class LearnedKnee(SlotPolicy):
@@ -168,37 +187,37 @@
     still send it to another target.
 
     Attributes:
-        services: The estimate of each service.
+        estimates: The estimate of each service.
     """
 
     def __init__(self) -> None:
         """Start without estimates."""
-        self.services: dict[ServiceId, KneeEstimate] = {}
+        self.estimates: dict[ServiceId, KneeEstimate] = {}
 
     def max_requests(self, target: TargetState, now: Deadline) -> int:
         """Return the number of slots with the most throughput."""
-        fast = int(KNEE_SHARE * target.slots)
-        estimate = self.services.get(target.service)
+        fast = int(KNEE_RATIO * target.slots)
+        estimate = self.estimates.get(target.service)
         if estimate is None or fast < 1:
             return target.slots
-        slower = estimate.is_above(target.slots / fast, now)
+        slower = estimate.slows_down_above(target.slots / fast, now)
         return fast if slower else target.slots
 
     def answered(
         self, target: TargetState, seconds: float, ahead: float, now: Deadline
     ) -> None:
         """Update the estimate, unless the request waited at the target."""
-        estimate = self.services.get(target.service)
+        estimate = self.estimates.get(target.service)
         if estimate is None:
-            estimate = self.services[target.service] = KneeEstimate()
+            estimate = self.estimates[target.service] = KneeEstimate()
         if ahead + 1 > target.slots or seconds <= 0:
             return
         if is_above_knee(ahead + 1, target.slots):
             estimate.note_above(seconds, now)
         else:
-            estimate.note_usual(seconds)
+            estimate.note_full_speed(seconds)
 
 
 def is_above_knee(requests: float, slots: int) -> bool:
     """Return whether a target may slow down at this number of requests."""
-    return requests > KNEE_SHARE * slots
+    return requests > KNEE_RATIO * slots
--- a/agatetack/balance/test_slot_policy.py
+++ b/agatetack/balance/test_slot_policy.py
@@ -10,14 +10,18 @@
 
 import pytest
 
-from agatetack.balance.slot_policy import FORGET_SECONDS, AllSlots, LearnedKnee
+from agatetack.balance.slot_policy import (
+    HALF_LIFE_SECONDS,
+    AllSlots,
+    LearnedKnee,
+)
 from agatetack.targets.state import TargetState
 
 SERVICE_SECONDS = 0.26
-SPREAD = 0.3
+LOG_TIME_DEVIATION = 0.3
 """Standard deviation of the logarithm of a request's time."""
 
-SLOW_SHARE, SLOW_FACTOR = 0.05, 5.0
+SLOW_RATIO, SLOW_FACTOR = 0.05, 5.0
 """Ratio of requests that run on a slow machine despite the pre-send probe, and
 the factor by which they take longer."""
 
@@ -32,10 +36,10 @@
     """Answer one request, slower by `factor` above 0.8 of the slots."""
     if ahead is None:
         ahead = rng.randrange(target.slots)
-    seconds = SERVICE_SECONDS * rng.lognormvariate(0, SPREAD)
+    seconds = SERVICE_SECONDS * rng.lognormvariate(0, LOG_TIME_DEVIATION)
     if ahead + 1 > 0.8 * target.slots:
         seconds *= factor
-    if rng.random() < SLOW_SHARE:
+    if rng.random() < SLOW_RATIO:
         seconds *= SLOW_FACTOR
     slot_policy.answered(target, seconds, ahead, now)
 
@@ -110,7 +114,7 @@
         answer(slot_policy, other, 1.0, rng, 0.0)
     assert slot_policy.max_requests(target, 0.0) == 4
     assert slot_policy.max_requests(other, 0.0) == 6
-    assert slot_policy.max_requests(target, 12 * FORGET_SECONDS) == 6
+    assert slot_policy.max_requests(target, 12 * HALF_LIFE_SECONDS) == 6
     # A request that waited at the target does not count.
     slot_policy.answered(target, 9.0, 6.0, 0.0)
     assert slot_policy.max_requests(target, 0.0) == 4
