--- a/agatetack/admission/service.py
+++ b/agatetack/admission/service.py
@@ -18,7 +18,7 @@
 from agatetack.admission.rates import RouteRates
 from agatetack.admission.service_queue import ServiceQueue
 from agatetack.balance.policy import Policy
-from agatetack.balance.target_share import NoShare, TargetShare
+from agatetack.balance.target_share import TargetShare, UnlimitedShare
 from agatetack.config.route import Route
 from agatetack.ids import Deadline, ServiceId
 from agatetack.metrics import Metrics
@@ -115,7 +115,7 @@
             share: Limits what this host may send to each target; unlimited if
                 None.
         """
-        self.share = share or NoShare()
+        self.share = share or UnlimitedShare()
         self.settings = settings
         self.registry = registry
         self.policy = policy
--- a/agatetack/admission/service_queue.py
+++ b/agatetack/admission/service_queue.py
@@ -134,23 +134,25 @@
         """Return the targets that may get new requests of `route`."""
         return self.registry.targets_in(self.service, route.regions)
 
-    def _opens_at(self, wanted: PermitRequest, now: Deadline) -> Deadline:
+    def _next_send_at(self, wanted: PermitRequest, now: Deadline) -> Deadline:
         """Return the earliest time this host may send to one of the targets."""
         targets = self._usable(wanted.route)
-        return min(self.share.opens_at(target, now) for target in targets)
+        return min(self.share.next_send_at(target, now) for target in targets)
 
     def _max_sends_in_time(self, wanted: PermitRequest, now: Deadline) -> float:
         """Return how many requests this host's share allows in time."""
         until = Deadline(wanted.deadline - self.quick_latency)
         return sum(
-            self.share.most_until(target, now, until)
+            self.share.max_requests_until(target, now, until)
             for target in self._usable(wanted.route)
         )
 
-    def _any_opens_at(self, route: Route, now: Deadline) -> Deadline:
+    def _fleet_next_send_at(self, route: Route, now: Deadline) -> Deadline:
         """Return the earliest time any host may send to one of the targets."""
         targets = self._usable(route)
-        return min(self.share.any_opens_at(target, now) for target in targets)
+        return min(
+            self.share.fleet_next_send_at(target, now) for target in targets
+        )
 
     def take_now(
         self, wanted: PermitRequest, now: Deadline
@@ -203,7 +205,7 @@
         return refuse(
             RefusalReason.NO_TARGET,
             "No target of the service takes one more request in time.",
-            self._any_opens_at(wanted.route, now),
+            self._fleet_next_send_at(wanted.route, now),
         )
 
     def _refuse_without_target(self, now: Deadline) -> Refusal:
@@ -232,7 +234,7 @@
         retry_at = self.retry_at(now)
         if not self._usable(route):
             return retry_at
-        return max(retry_at, self._any_opens_at(route, now))
+        return max(retry_at, self._fleet_next_send_at(route, now))
 
     def look_again_at(self, wanted: PermitRequest, now: Deadline) -> Deadline:
         """Return when a waiting request has to start polling for a target.
@@ -244,8 +246,8 @@
         targets = self._usable(wanted.route)
         if not targets:
             return late_at
-        opens_at = self._opens_at(wanted, now)
-        return min(late_at, opens_at) if opens_at > now else late_at
+        next_send_at = self._next_send_at(wanted, now)
+        return min(late_at, next_send_at) if next_send_at > now else late_at
 
     def late_at(self, wanted: PermitRequest) -> Deadline:
         """Return from when on the route's target latency cannot be met."""
@@ -333,7 +335,7 @@
             return None
         if target.status is TargetStatus.COLD:
             self.registry.mark_ready_if_warm(target, now)
-        self.share.taken(target)
+        self.share.record_request(target)
         return target
 
     def _free(
@@ -363,7 +365,7 @@
                 and self.policy.has_free_slot(target, now)
             ]
         if not wanted.wait:
-            free = self.policy.spare(free, now)
+            free = self.policy.hedge_candidates(free, now)
         else:
             due = [target for target in free if self.share.is_due(target, now)]
             free = due or free
--- a/agatetack/balance/cold_share.py
+++ b/agatetack/balance/cold_share.py
@@ -93,7 +93,7 @@
             return False
         return now >= self._free_at(target, now)
 
-    def opens_at(self, target: TargetState, now: Deadline) -> Deadline:
+    def next_send_at(self, target: TargetState, now: Deadline) -> Deadline:
         """Return the earliest time it may send; `now` if not known."""
         if not target.is_warming_up(now) or not target.warmth.known:
             return now
@@ -101,7 +101,7 @@
             return max(now, self._free_at(target, now))
         return target.warmth.warm_at
 
-    def taken(self, target: TargetState) -> None:
+    def record_request(self, target: TargetState) -> None:
         """Record that a request was assigned to `target`."""
         now = Deadline(trio.current_time())
         rate = self._rate(target)
--- a/agatetack/balance/fleet_view.py
+++ b/agatetack/balance/fleet_view.py
@@ -83,7 +83,7 @@
 requests, within 22 s of low load.
 """
 
-SPARE_SLOWNESS = 2.0
+MAX_HEDGE_SLOWNESS = 2.0
 """Slowness up to which a target may get a second attempt."""
 
 FAILED_COST = 6.0
@@ -162,7 +162,7 @@
         max_load = self.slot_policy.max_requests(target, now) + MAX_WAITING
         return self.expected_load(target, now) < max_load
 
-    def spare(
+    def hedge_candidates(
         self, candidates: Sequence[TargetState], now: Deadline
     ) -> Sequence[TargetState]:
         """Return the candidates with a free slot that are not slow now.
@@ -175,7 +175,7 @@
             for target in candidates
             if self.expected_load(target, now) + 1 <= target.slots
             and not target.is_warming_up(now)
-            and self.slowness(target, now) <= SPARE_SLOWNESS
+            and self.slowness(target, now) <= MAX_HEDGE_SLOWNESS
         ]
 
     def _weigh(
--- a/agatetack/balance/policy.py
+++ b/agatetack/balance/policy.py
@@ -22,7 +22,7 @@
             now: The time of the choice.
         """
 
-    def spare(
+    def hedge_candidates(
         self, candidates: Sequence[TargetState], now: Deadline
     ) -> Sequence[TargetState]:
         """Return the candidates that may get a second, hedged attempt.
--- a/agatetack/balance/pushback_share.py
+++ b/agatetack/balance/pushback_share.py
@@ -29,7 +29,7 @@
         self.held.inc({"service": target.service})
         return False
 
-    def opens_at(self, target: TargetState, now: Deadline) -> Deadline:
+    def next_send_at(self, target: TargetState, now: Deadline) -> Deadline:
         """Return the earliest time it may send."""
         return max(now, target.pushback_until)
 
--- a/agatetack/balance/rate_share.py
+++ b/agatetack/balance/rate_share.py
@@ -107,7 +107,7 @@
         sharers: The hosts that the rate was divided among.
         since: Since when the target limits its rate.
         sent_at: When this host last sent to the target.
-        opens_at: The earliest time at which the quota allows a request.
+        next_send_at: The earliest time at which the quota allows a request.
     """
 
     quota: Quota
@@ -116,7 +116,7 @@
     sharers: Sequence[HostId]
     since: Deadline
     sent_at: Deadline
-    opens_at: Deadline
+    next_send_at: Deadline
 
 
 class RateShare(TargetShare):
@@ -166,25 +166,27 @@
         self.held.inc({"service": target.service})
         return False
 
-    def opens_at(self, target: TargetState, now: Deadline) -> Deadline:
+    def next_send_at(self, target: TargetState, now: Deadline) -> Deadline:
         """Return the earliest time it may send."""
         if target.rate_limit.rate is None:
             return now
         return max(now, self._free_at(target, now))
 
-    def most_until(
+    def max_requests_until(
         self, target: TargetState, now: Deadline, until: Deadline
     ) -> float:
         """Return how many requests it may send from `now` to `until`."""
         if target.rate_limit.rate is None:
             return math.inf
-        opens_at = self.opens_at(target, now)
-        if opens_at > until:
+        next_send_at = self.next_send_at(target, now)
+        if next_send_at > until:
             return 0
         interval = self._find(target, now).quota.interval
-        return 1 + (until - opens_at) // interval
+        return 1 + (until - next_send_at) // interval
 
-    def any_opens_at(self, target: TargetState, now: Deadline) -> Deadline:
+    def fleet_next_send_at(
+        self, target: TargetState, now: Deadline
+    ) -> Deadline:
         """Return when any host may send, on average."""
         rate = target.rate_limit.rate
         return now if rate is None else Deadline(now + 1 / rate)
@@ -200,15 +202,15 @@
             limit.rate is not None and now >= limit.reported_at + QUIET_SECONDS
         )
 
-    def taken(self, target: TargetState) -> None:
+    def record_request(self, target: TargetState) -> None:
         """Record that a request was assigned to `target`."""
         if target.rate_limit.rate is not None:
             now = Deadline(trio.current_time())
             self._find(target, now).sent_at = now
 
-    def probed(self, target: TargetState) -> None:
+    def record_probe(self, target: TargetState) -> None:
         """Record that a probe is sent, which the target counts as a request."""
-        self.taken(target)
+        self.record_request(target)
 
     def may_probe(self, target: TargetState) -> bool:
         """Return whether this host may probe `target`.
@@ -230,7 +232,7 @@
         rated = self._find(target, now)
         if rated.quota.place is None:
             return Deadline(math.inf)
-        free_at = max(rated.sent_at + rated.quota.interval, rated.opens_at)
+        free_at = max(rated.sent_at + rated.quota.interval, rated.next_send_at)
         if not rated.quota.own:
             return max(free_at, _trial_at(rated.quota, target.rate_limit))
         return Deadline(free_at)
@@ -249,7 +251,7 @@
     def _begin(self, target: TargetState, now: Deadline) -> RatedTarget:
         sharers = self._sharers(target)
         quota = self._quota(target, sharers)
-        sent_at, opens_at = Deadline(-math.inf), now
+        sent_at, next_send_at = Deadline(-math.inf), now
         if quota.own:
             if target.last_chosen_at is not None:
                 sent_at = target.last_chosen_at
@@ -257,7 +259,7 @@
             # requests are staggered.
             stagger = quota.interval * quota.place / quota.hosts
             not_known_until = self.started_at + quota.interval
-            opens_at = Deadline(max(now + stagger, not_known_until))
+            next_send_at = Deadline(max(now + stagger, not_known_until))
         rated = RatedTarget(
             quota=quota,
             until=Deadline(now + REFRESH_SECONDS),
@@ -265,7 +267,7 @@
             sharers=sharers,
             since=target.rate_limit.since,
             sent_at=sent_at,
-            opens_at=opens_at,
+            next_send_at=next_send_at,
         )
         self._tell(target, quota)
         return rated
@@ -282,7 +284,7 @@
         rated.rate, rated.sharers = rate, sharers
         if quota.own and not rated.quota.own:
             # The host that had this quota before may have just used it.
-            rated.opens_at = Deadline(now + quota.interval)
+            rated.next_send_at = Deadline(now + quota.interval)
         rated.quota = quota
         self._tell(target, quota)
 
--- a/agatetack/balance/target_share.py
+++ b/agatetack/balance/target_share.py
@@ -15,22 +15,24 @@
     def allows(self, target: TargetState) -> bool:
         """Return whether this host may send one more request to `target`."""
 
-    def opens_at(self, target: TargetState, now: Deadline) -> Deadline:
+    def next_send_at(self, target: TargetState, now: Deadline) -> Deadline:
         """Return the earliest time it may send; `now` if not known."""
         return now
 
-    def most_until(
+    def max_requests_until(
         self, target: TargetState, now: Deadline, until: Deadline
     ) -> float:
         """Return how many requests it may send from `now` to `until`.
 
         Infinite if the share does not limit their number.
         """
-        return math.inf if self.opens_at(target, now) <= until else 0
+        return math.inf if self.next_send_at(target, now) <= until else 0
 
-    def any_opens_at(self, target: TargetState, now: Deadline) -> Deadline:
+    def fleet_next_send_at(
+        self, target: TargetState, now: Deadline
+    ) -> Deadline:
         """Return the earliest known time at which any host may send."""
-        return self.opens_at(target, now)
+        return self.next_send_at(target, now)
 
     def is_due(self, target: TargetState, now: Deadline) -> bool:
         """Return whether the next request should go to `target`.
@@ -41,18 +43,18 @@
         """
         return False
 
-    def taken(self, target: TargetState) -> None:  # noqa: B027
+    def record_request(self, target: TargetState) -> None:  # noqa: B027
         """Record that a request was assigned to `target`."""
 
     def may_probe(self, target: TargetState) -> bool:
         """Return whether this host may probe `target`."""
         return True
 
-    def probed(self, target: TargetState) -> None:  # noqa: B027
+    def record_probe(self, target: TargetState) -> None:  # noqa: B027
         """Record that a probe is sent to `target`."""
 
 
-class NoShare(TargetShare):
+class UnlimitedShare(TargetShare):
     """Does not limit what the host sends."""
 
     def allows(self, target: TargetState) -> bool:
@@ -60,7 +62,7 @@
         return True
 
 
-class AllShares(TargetShare):
+class CombinedShares(TargetShare):
     """Combines several shares; a request must be allowed by each of them."""
 
     def __init__(self, shares: Sequence[TargetShare]):
@@ -71,36 +73,41 @@
         """Return whether every share allows one more request."""
         return all(share.allows(target) for share in self.shares)
 
-    def opens_at(self, target: TargetState, now: Deadline) -> Deadline:
+    def next_send_at(self, target: TargetState, now: Deadline) -> Deadline:
         """Return the earliest time at which all shares allow a request."""
-        return max(share.opens_at(target, now) for share in self.shares)
+        return max(share.next_send_at(target, now) for share in self.shares)
 
-    def most_until(
+    def max_requests_until(
         self, target: TargetState, now: Deadline, until: Deadline
     ) -> float:
         """Return the number of requests that the strictest share allows."""
         return min(
-            share.most_until(target, now, until) for share in self.shares
+            share.max_requests_until(target, now, until)
+            for share in self.shares
         )
 
-    def any_opens_at(self, target: TargetState, now: Deadline) -> Deadline:
+    def fleet_next_send_at(
+        self, target: TargetState, now: Deadline
+    ) -> Deadline:
         """Return the earliest time at which all shares allow any host."""
-        return max(share.any_opens_at(target, now) for share in self.shares)
+        return max(
+            share.fleet_next_send_at(target, now) for share in self.shares
+        )
 
     def is_due(self, target: TargetState, now: Deadline) -> bool:
         """Return whether any of the shares has a request due."""
         return any(share.is_due(target, now) for share in self.shares)
 
-    def taken(self, target: TargetState) -> None:
+    def record_request(self, target: TargetState) -> None:
         """Record a request with each share."""
         for share in self.shares:
-            share.taken(target)
+            share.record_request(target)
 
     def may_probe(self, target: TargetState) -> bool:
         """Return whether every share allows this host to probe `target`."""
         return all(share.may_probe(target) for share in self.shares)
 
-    def probed(self, target: TargetState) -> None:
+    def record_probe(self, target: TargetState) -> None:
         """Record a probe with each share."""
         for share in self.shares:
-            share.probed(target)
+            share.record_probe(target)
--- a/agatetack/balance/test_cold_share.py
+++ b/agatetack/balance/test_cold_share.py
@@ -78,7 +78,7 @@
         for share in shares:
             for target in registry.targets(SERVICE):
                 if rng.random() < chance and share.allows(target):
-                    share.taken(target)
+                    share.record_request(target)
                     times = sent.setdefault(target.id, [])
                     times.append(trio.current_time())
         await trio.sleep(STEP_SECONDS)
@@ -172,7 +172,7 @@
             chill(registry)
         share = rng.choice(shares)
         if share.allows(target):
-            share.taken(target)
+            share.record_request(target)
             sent.append(trio.current_time())
         await trio.sleep(1 / 60)
     assert len(sent) >= 11
@@ -219,7 +219,7 @@
     target.warmth.note(Deadline(begin + since + warm_in), Deadline(begin))
     await trio.sleep(since)
     now = Deadline(trio.current_time())
-    assert share.opens_at(target, now) == pytest.approx(now + opens_in)
+    assert share.next_send_at(target, now) == pytest.approx(now + opens_in)
 
 
 async def test_targets_without_a_rate_are_not_bounded(autojump_clock):
--- a/agatetack/balance/test_fleet_view.py
+++ b/agatetack/balance/test_fleet_view.py
@@ -169,7 +169,7 @@
     targets[0].peer_in_flight = 2
     report(targets[1], slowness=4.0)
     targets[2].in_flight = 1
-    assert policy.spare(targets, NOW) == targets[2:]
+    assert policy.hedge_candidates(targets, NOW) == targets[2:]
 
 
 @pytest.mark.parametrize("end", ["shed", "failed"])
--- a/agatetack/balance/test_looked_at_cold_targets.py
+++ b/agatetack/balance/test_looked_at_cold_targets.py
@@ -124,7 +124,7 @@
         wanted = PermitRequest(make_route(), request, request.deadline)
         result = await self.sends[place].acquire(wanted)
         if isinstance(result, Success):
-            self.share.taken(target)
+            self.share.record_request(target)
             self.fleet.sent.setdefault(target.id, []).append(
                 trio.current_time()
             )
--- a/agatetack/balance/test_rate_share.py
+++ b/agatetack/balance/test_rate_share.py
@@ -19,7 +19,7 @@
     RateShare,
     split_rate,
 )
-from agatetack.balance.target_share import AllShares
+from agatetack.balance.target_share import CombinedShares
 from agatetack.balance.test_cold_share import host
 from agatetack.ids import Deadline
 from agatetack.metrics import Metrics
@@ -109,7 +109,7 @@
     while trio.current_time() < end:
         for sender in fleet:
             if sender.share.allows(sender.target):
-                sender.share.taken(sender.target)
+                sender.share.record_request(sender.target)
                 sent.append(trio.current_time())
         await trio.sleep(step)
     return sent
@@ -278,7 +278,7 @@
     unlisted = fleet[1]
     unlisted.tell(1.3)
     now = Deadline(trio.current_time())
-    assert unlisted.share.opens_at(unlisted.target, now) == math.inf
+    assert unlisted.share.next_send_at(unlisted.target, now) == math.inf
     assert await press([unlisted], 60.0) == []
 
 
@@ -302,7 +302,7 @@
     assert sender.share.may_probe(sender.target)
     sender.tell(0.2)
     assert not sender.share.may_probe(sender.target)
-    sender.share.taken(sender.target)
+    sender.share.record_request(sender.target)
     await trio.sleep(QUIET_SECONDS + 0.1)
     # A request is allowed and due; it goes before a probe.
     now = Deadline(trio.current_time())
@@ -311,7 +311,7 @@
     assert not sender.share.may_probe(sender.target)
     await trio.sleep(5.0)
     assert sender.share.may_probe(sender.target)
-    sender.share.probed(sender.target)
+    sender.share.record_probe(sender.target)
     # The probe used the quota of a request.
     assert not sender.share.allows(sender.target)
     assert not sender.share.may_probe(sender.target)
@@ -322,7 +322,7 @@
     sender = fleet[0]
     settings = default_settings(host={"id": "h000"})
     cold = ColdShare(settings, sender.registry, lambda: sender.listed)
-    both = AllShares([cold, sender.share])
+    both = CombinedShares([cold, sender.share])
     sender.registry.set_warm_up_rates({SERVICE: 5.0})
     now = Deadline(trio.current_time())
     sender.target.warmth.note(Deadline(now + 3.0), now)
@@ -331,7 +331,7 @@
     assert not both.allows(sender.target)
     await trio.sleep(4.0)
     sender.tell(0.2)
-    both.taken(sender.target)
+    both.record_request(sender.target)
     assert cold.allows(sender.target)
     assert not both.allows(sender.target)
 
@@ -394,6 +394,11 @@
     sender.tell(rate)
     now = Deadline(trio.current_time())
     until = Deadline(now + seconds + 0.001)
-    assert sender.share.most_until(sender.target, now, until) == max_count
-    sender.share.taken(sender.target)
-    assert sender.share.most_until(sender.target, now, until) == max_count - 1
+    assert (
+        sender.share.max_requests_until(sender.target, now, until) == max_count
+    )
+    sender.share.record_request(sender.target)
+    assert (
+        sender.share.max_requests_until(sender.target, now, until)
+        == max_count - 1
+    )
--- a/agatetack/gateway_core.py
+++ b/agatetack/gateway_core.py
@@ -16,7 +16,7 @@
 from agatetack.balance.pushback_share import PushbackShare
 from agatetack.balance.rate_share import RateShare
 from agatetack.balance.start_share import StartShare
-from agatetack.balance.target_share import AllShares
+from agatetack.balance.target_share import CombinedShares
 from agatetack.callers.server import CallerServer
 from agatetack.clock import Clock, SystemClock
 from agatetack.config.route import RequestClass, RouteSource
@@ -142,7 +142,7 @@
             make_policy(settings, seed),
             metrics,
             self.peers.fleet_size,
-            AllShares(
+            CombinedShares(
                 [
                     pushback_share,
                     self.start_share,
@@ -161,7 +161,7 @@
                 settings, load_reader, load_paths, self.registry.pushbacks
             ),
             seed,
-            AllShares([pushback_share, self.rate_share]),
+            CombinedShares([pushback_share, self.rate_share]),
         )
         self.rounds = ProbeRounds(
             settings,
--- a/agatetack/measure/prober.py
+++ b/agatetack/measure/prober.py
@@ -5,7 +5,7 @@
 import trio
 from returns.result import Result, Success
 
-from agatetack.balance.target_share import NoShare, TargetShare
+from agatetack.balance.target_share import TargetShare, UnlimitedShare
 from agatetack.ids import Deadline, ServiceId
 from agatetack.measure.budget import START_DELAY_SECONDS, TokenBucket
 from agatetack.measure.probe import ProbeAnswer, ProbeClient, ProbeFailure
@@ -80,7 +80,7 @@
             seed: Seed of the random choice of targets to probe.
             share: What this host may send to each target; all if None.
         """
-        self.share = share or NoShare()
+        self.share = share or UnlimitedShare()
         self.settings = settings
         self.registry = registry
         self.metrics = metrics
@@ -199,7 +199,7 @@
             return
         if not self.share.may_probe(target):
             return
-        self.share.probed(target)
+        self.share.record_probe(target)
         self.registry.note_sent(target, SendKind.PROBE)
         timeout = self.settings.measure.probe_timeout_seconds
         deadline = Deadline(trio.current_time() + timeout)
