--- a/agatetack/balance/expected_wait.py
+++ b/agatetack/balance/expected_wait.py
@@ -65,8 +65,8 @@
         costs: list[float] = []
         for target in candidates:
             learned = target.learned
-            if learned.peer_at > learned.peer_seen:
-                self.take_peer_word(target, limit, now)
+            if learned.peer_measured_at > learned.peer_applied_at:
+                self.apply_peer_measurement(target, limit, now)
             service = learned.service_seconds or typical
             if service > limit or target.failures >= FAILURES_TO_LEAVE:
                 if now >= learned.trial_at and not target.in_flight:
--- a/agatetack/balance/fleet_view.py
+++ b/agatetack/balance/fleet_view.py
@@ -187,8 +187,8 @@
     ) -> float:
         """Return a target's cost; infinite if it is avoided for now."""
         learned = target.learned
-        if learned.peer_at > learned.peer_seen:
-            self.take_peer_word(target, limit, now)
+        if learned.peer_measured_at > learned.peer_applied_at:
+            self.apply_peer_measurement(target, limit, now)
         slow = learned.service_seconds is not None and (
             learned.service_seconds > limit
         )
--- a/agatetack/balance/learned.py
+++ b/agatetack/balance/learned.py
@@ -2,7 +2,7 @@
 
 import dataclasses
 
-PEER_SECONDS = 1.0
+PEER_MAX_AGE_SECONDS = 1.0
 """Time after which the measurements of other hosts are discarded."""
 
 PEER_WEIGHT = 0.12
@@ -17,9 +17,9 @@
     Attributes:
         service_seconds: Time one request takes on a free slot, or None.
         peer_service_seconds: The same, as recently measured by other hosts.
-        peer_at: When the last of them measured it.
-        peer_seen: The last `peer_at` that was taken into account.
-        adopted: Whether the service time comes from other hosts.
+        peer_measured_at: When the last of them measured it.
+        peer_applied_at: The last `peer_measured_at` that was applied.
+        from_peers: Whether the service time comes from other hosts.
         slow: Whether the target is considered slow.
         others: Usual number of other hosts' requests there.
         trust: How well reports agreed with the latency, from 0 to 1.
@@ -35,9 +35,9 @@
 
     service_seconds: float | None = None
     peer_service_seconds: float = 0.0
-    peer_at: float = float("-inf")
-    peer_seen: float = float("-inf")
-    adopted: bool = False
+    peer_measured_at: float = float("-inf")
+    peer_applied_at: float = float("-inf")
+    from_peers: bool = False
     slow: bool = False
     others: float = 0.0
     trust: float = 1.0
@@ -50,14 +50,14 @@
     failing_at: float = 0.0
     sent: dict[int, float] = dataclasses.field(default_factory=dict)
 
-    def note_peer(self, service_seconds: float, at: float) -> None:
+    def note_peer_measurement(self, service_seconds: float, at: float) -> None:
         """Add a service time that another host measured."""
         base = self.peer_service_seconds
-        if at - self.peer_at > PEER_SECONDS:
+        if at - self.peer_measured_at > PEER_MAX_AGE_SECONDS:
             base = self.service_seconds or service_seconds
         base += PEER_WEIGHT * (service_seconds - base)
         self.peer_service_seconds = base
-        self.peer_at = at
+        self.peer_measured_at = at
 
     def out_seconds(self, now: float) -> float:
         """Return how long the oldest request has been in flight."""
--- a/agatetack/balance/learning.py
+++ b/agatetack/balance/learning.py
@@ -31,7 +31,7 @@
 TRUST_WEIGHT = 0.02
 """Weight in that trust of a response that agrees with the reports."""
 
-TELL_RATIO = 2.2
+REPORT_SLOW_RATIO = 2.2
 """A target is reported to the peers as slow from this multiple of the limit for
 slow targets on.
 
@@ -173,14 +173,14 @@
             step = SERVICE_WEIGHT * (service - learned.service_seconds)
             learned.service_seconds += step
         learned.shed_count = 0
-        learned.adopted = False
+        learned.from_peers = False
         report = target.report
         if report is not None:
             seen = max(0, report.in_flight - report.own_in_flight)
             learned.others += OTHERS_WEIGHT * (seen - learned.others)
         if learned.service_seconds > limit:
             learned.slow = True
-            if learned.service_seconds > TELL_RATIO * limit:
+            if learned.service_seconds > REPORT_SLOW_RATIO * limit:
                 self.changed.append(target)
             self.postpone_trial(target, now)
         elif learned.slow:
@@ -213,7 +213,7 @@
         learned.trial_at = now + pause * (0.5 + self.rng.random())
         learned.trial_count += 1
 
-    def take_peer_word(
+    def apply_peer_measurement(
         self, target: TargetState, limit: float, now: Deadline
     ) -> None:
         """Apply the peers' service time of `target` unless a response is newer.
@@ -222,24 +222,26 @@
         tried again.
         """
         learned = target.learned
-        learned.peer_seen = learned.peer_at
+        learned.peer_applied_at = learned.peer_measured_at
         answered = target.last_answer_at
-        if answered is not None and answered >= learned.peer_at:
+        if answered is not None and answered >= learned.peer_measured_at:
             return
-        told = learned.peer_service_seconds
-        if told > limit:
+        peer_seconds = learned.peer_service_seconds
+        if peer_seconds > limit:
             # A trial by one host serves all hosts, so it postpones the one of
             # this host.
-            learned.service_seconds = max(learned.service_seconds or 0, told)
+            learned.service_seconds = max(
+                learned.service_seconds or 0, peer_seconds
+            )
             learned.slow = True
-            learned.adopted = True
+            learned.from_peers = True
             self.postpone_trial(target, now)
-        elif learned.adopted:
+        elif learned.from_peers:
             # This host has no measurement of its own for the target, so it is
             # treated as typical.
             learned.service_seconds = None
             learned.slow = False
-            learned.adopted = False
+            learned.from_peers = False
             learned.trial_count = 0
         elif learned.slow:
             learned.trial_at = now
--- a/agatetack/balance/test_policies.py
+++ b/agatetack/balance/test_policies.py
@@ -155,7 +155,7 @@
 
 
 @pytest.mark.parametrize(
-    ("words", "share"),
+    ("ratios", "share"),
     [
         # A few slow responses at one host don't make others avoid a target.
         ([10], 0.25),
@@ -164,23 +164,25 @@
         ([10, 10, 10, 1, 1, 1, 1, 1], 0.25),
     ],
 )
-async def test_words_of_peers(words, share):
+async def test_service_times_measured_by_peers(ratios, share):
     policy = make_expected_wait()
     targets = [make_target(n) for n in range(1, 5)]
     now = Deadline(0.0)
-    for step, ratio in enumerate(words):
+    for step, ratio in enumerate(ratios):
         now = Deadline(step / 1000)
-        targets[0].learned.note_peer(ratio * SERVICE_SECONDS, now)
+        targets[0].learned.note_peer_measurement(ratio * SERVICE_SECONDS, now)
         policy.choose(targets, now)
     assert shares(policy, targets, now)[0] == pytest.approx(share, abs=0.1)
 
 
-async def test_words_of_peers_are_not_newer_than_an_own_answer():
+async def test_an_own_answer_overrides_older_peer_measurements():
     policy = make_expected_wait()
     targets = [make_target(n) for n in range(1, 5)]
     targets[0].last_answer_at = Deadline(1.0)
     for step in range(5):
-        targets[0].learned.note_peer(10 * SERVICE_SECONDS, step / 1000)
+        targets[0].learned.note_peer_measurement(
+            10 * SERVICE_SECONDS, step / 1000
+        )
     assert shares(policy, targets, 1.0)[0] > 0.1
 
 
--- a/agatetack/measure/samples.py
+++ b/agatetack/measure/samples.py
@@ -244,7 +244,7 @@
         service = target.learned.service_seconds
         # A value adopted from a peer is not sent on: as it circulated, it
         # would look like new evidence each time.
-        if service is not None and not target.learned.adopted:
+        if service is not None and not target.learned.from_peers:
             sample.service_us = round(service * 1e6)
         return sample
 
@@ -322,8 +322,8 @@
                 target, sample.rate, said_at
             )
         self.registry.note_report(target, report)
-        if sample.service_us and at > target.learned.peer_at:
-            target.learned.note_peer(sample.service_us / 1e6, at)
+        if sample.service_us and at > target.learned.peer_measured_at:
+            target.learned.note_peer_measurement(sample.service_us / 1e6, at)
 
     def _send_sign(self, target: TargetState, sign: LeavingSign) -> None:
         message = TargetSign(target=target.process, sign=SIGN_NUMBERS[sign])
--- a/agatetack/measure/test_prober.py
+++ b/agatetack/measure/test_prober.py
@@ -252,7 +252,7 @@
     sender.prober.sharing.bucket.tokens = 4000
     sender.report(sender.targets[0], 7)
     sender.targets[0].learned.service_seconds = 0.1
-    sender.targets[0].learned.adopted = True
+    sender.targets[0].learned.from_peers = True
     sender.registry.note_slowness(sender.targets[0])
     assert taker.targets[0].learned.peer_service_seconds == 0
 
