--- a/agatetack/balance/fleet_view.py
+++ b/agatetack/balance/fleet_view.py
@@ -5,7 +5,7 @@
 from collections.abc import Sequence
 
 from agatetack.balance.learning import FAILURES_TO_LEAVE, LearningPolicy
-from agatetack.balance.slot_policy import LearnedKnee, SlotPolicy, is_above_knee
+from agatetack.balance.room import LearnedKnee, SlotPolicy, is_above_knee
 from agatetack.ids import Deadline
 from agatetack.settings.model import Settings
 from agatetack.targets.load import USUAL_SLOWNESS
--- a/agatetack/balance/test_slot_policy.py
+++ b/agatetack/balance/test_room.py
@@ -10,7 +10,7 @@
 
 import pytest
 
-from agatetack.balance.slot_policy import (
+from agatetack.balance.room import (
     HALF_LIFE_SECONDS,
     AllSlots,
     LearnedKnee,
