--- a/agatetack/balance/expected_wait.py
+++ b/agatetack/balance/expected_wait.py
@@ -9,12 +9,12 @@
 import random
 from collections.abc import Sequence
 
-from agatetack.balance.learning import FAILURES_TO_LEAVE, LearningPolicy
+from agatetack.balance.learning import FAILURES_TO_AVOID, LearningPolicy
 from agatetack.ids import Deadline
 from agatetack.settings.model import Settings
 from agatetack.targets.state import TargetState
 
-NEAR_RATIO = 0.1
+TIE_RATIO = 0.1
 """Ratio of the typical service time. Candidates whose cost is within this of
 the lowest count as equally good."""
 
@@ -25,7 +25,7 @@
 reacting to them makes the load of the targets uneven.
 """
 
-LOW_REPORT_SHARE = 0.1
+LOW_REPORT_HALF_LIFE_RATIO = 0.1
 """Ratio of the normal half-life at which a report below the usual load decays.
 
 A long queue takes time to drain, but a free slot is taken by whichever host
@@ -36,10 +36,10 @@
 """Maximum number of candidates that are compared for one choice, which bounds
 the cost of the choice."""
 
-FORGOTTEN_HALF_LIVES = 8
+MAX_REPORT_HALF_LIVES = 8
 """Half-lives after which a report is ignored."""
 
-OUT_SHARE = 0.5
+IN_FLIGHT_SERVICE_RATIO = 0.5
 """Ratio of the time a request has been in flight that counts as service
 time."""
 
@@ -68,7 +68,7 @@
             if learned.peer_measured_at > learned.peer_applied_at:
                 self.apply_peer_measurement(target, limit, now)
             service = learned.service_seconds or typical
-            if service > limit or target.failures >= FAILURES_TO_LEAVE:
+            if service > limit or target.failures >= FAILURES_TO_AVOID:
                 if now >= learned.trial_at and not target.in_flight:
                     self.postpone_trial(target, now)
                     return target
@@ -80,7 +80,7 @@
                 best = cost
         if best == math.inf:
             return min(candidates, key=lambda t: self.cost(t, now, typical))
-        return self.draw_near(candidates, costs, NEAR_RATIO * typical)
+        return self.draw_near(candidates, costs, TIE_RATIO * typical)
 
     def cost(self, target: TargetState, now: Deadline, typical: float) -> float:
         """Return the expected seconds from sending to the response."""
@@ -91,7 +91,9 @@
         if learned.sent:
             # A request that has been in flight for long shows that the target
             # is slow before a response does.
-            service = max(service, OUT_SHARE * learned.out_seconds(now))
+            service = max(
+                service, IN_FLIGHT_SERVICE_RATIO * learned.out_seconds(now)
+            )
         wait = expected_wait(
             target.in_flight, self.expected_others(target, now), target.slots
         )
@@ -107,14 +109,14 @@
         seen = report.in_flight - report.own_in_flight
         half_lives = (now - report.at) / self.half_life
         if seen < usual:
-            half_lives /= LOW_REPORT_SHARE
+            half_lives /= LOW_REPORT_HALF_LIFE_RATIO
             if target.report_uses >= self.reuses:
                 # The free slot that it reported has been used.
                 return usual
             if seen < 0:
                 seen = 0
         estimate = usual
-        if half_lives < FORGOTTEN_HALF_LIVES:
+        if half_lives < MAX_REPORT_HALF_LIVES:
             estimate += (seen - usual) * 0.5**half_lives
         trust = target.learned.trust
         if trust < 1:
--- a/agatetack/balance/fleet_view.py
+++ b/agatetack/balance/fleet_view.py
@@ -4,7 +4,7 @@
 import random
 from collections.abc import Sequence
 
-from agatetack.balance.learning import FAILURES_TO_LEAVE, LearningPolicy
+from agatetack.balance.learning import FAILURES_TO_AVOID, LearningPolicy
 from agatetack.balance.room import LearnedKnee, SlotPolicy, is_above_knee
 from agatetack.ids import Deadline
 from agatetack.settings.model import Settings
@@ -21,11 +21,11 @@
 first second after a power cut.
 """
 
-NEAR_RATIO = 0.05
+TIE_RATIO = 0.05
 """Ratio of the typical service time. Candidates whose cost is within this of
 the lowest count as equally good."""
 
-FULL_FACTOR = 1.5
+ABOVE_KNEE_FACTOR = 1.5
 """Factor by which a request is expected to take longer on a target whose last
 slots are in use.
 
@@ -33,16 +33,16 @@
 long; others do not. The factor lies between the two.
 """
 
-UNSEEN_HALF_LIFE_SECONDS = 0.1
+EXCESS_HALF_LIFE_SECONDS = 0.1
 """Half-life of the requests that a target reported beyond those that the hosts
 reported as their own."""
 
-UNTOLD_HALF_LIFE_SECONDS = 1.0
+UNSHARED_HALF_LIFE_SECONDS = 1.0
 """The same for a target whose load is known only from its own reports, as most
 of the hosts that send to it are in other failure domains. Each change reaches
 this host within a quarter of this time, and everything else once within it."""
 
-SLOWNESS_SECONDS = 2.5
+SLOWNESS_MAX_AGE_SECONDS = 2.5
 """Age from which a report no longer shows how slow a target is.
 
 The host that probes a target passes on changes at once and everything else once
@@ -54,7 +54,7 @@
 with noisy neighbours show in their better periods."""
 
 
-CONNECT_SHARE = 0.25
+CONNECT_COST_RATIO = 0.25
 """Additional cost of a target without an open connection, as a ratio of the
 typical service time.
 
@@ -73,7 +73,7 @@
 target, and 31 % with none (14 hosts, two seconds of 160 requests each).
 """
 
-UNSHARED_SHARE = 0.25
+OTHER_GROUP_COST_RATIO = 0.25
 """Additional cost of a target of another group of hosts, as a ratio of the
 typical service time.
 
@@ -86,18 +86,18 @@
 MAX_HEDGE_SLOWNESS = 2.0
 """Slowness up to which a target may get a second attempt."""
 
-FAILED_COST = 6.0
+FAILURE_COST_RATIO = 6.0
 """Cost of a failed attempt, in typical service times: the time it took, and
 another attempt, if one is allowed at all."""
 
-FAILING_WEIGHT = 0.3
+FAILURE_WEIGHT = 0.3
 """Weight of one attempt in the moving average of the failure rate. It is high
 because a host sends a target only one request every few seconds."""
 
-FAILING_HALF_LIFE_SECONDS = 3.0
+FAILURE_HALF_LIFE_SECONDS = 3.0
 """Half-life of a target's failure rate, so that the target is tried again."""
 
-LARGE_BYTES = 15_000
+LARGE_RESPONSE_BYTES = 15_000
 """Response size from which the preference for targets of the own failure
 domain has its full strength.
 
@@ -105,7 +105,7 @@
 less than the cost of taking the last free slot of a target.
 """
 
-CARRY_SHARE = 1.2
+OTHER_DOMAIN_COST_RATIO = 1.2
 """Additional cost of a target of another failure domain for large responses, in
 typical service times.
 
@@ -147,7 +147,7 @@
         costs = [self._weigh(t, now, typical, limit) for t in candidates]
         if min(costs) == math.inf:
             costs = [self.cost(t, now, typical) for t in candidates]
-        near = min(costs) + NEAR_RATIO * typical
+        near = min(costs) + TIE_RATIO * typical
         ties = [
             target
             for target, cost in zip(candidates, costs, strict=True)
@@ -192,7 +192,7 @@
         slow = learned.service_seconds is not None and (
             learned.service_seconds > limit
         )
-        if not slow and target.failures < FAILURES_TO_LEAVE:
+        if not slow and target.failures < FAILURES_TO_AVOID:
             return self.cost(target, now, typical)
         if now < learned.trial_at or target.in_flight:
             return math.inf
@@ -207,23 +207,23 @@
         load = self.expected_load(target, now)
         service = typical * self.slowness(target, now)
         if is_above_knee(load + 1, target.slots):
-            service *= FULL_FACTOR
+            service *= ABOVE_KNEE_FACTOR
         wait = max(0.0, load + 1 - target.slots) / target.slots
         cost = self.network(target) + service * (1 + wait)
         if not target.idle_connections:
-            cost += CONNECT_SHARE * typical
+            cost += CONNECT_COST_RATIO * typical
         if not target.all_peers_report:
-            cost += UNSHARED_SHARE * typical
+            cost += OTHER_GROUP_COST_RATIO * typical
         if target.failure_domain != self.domain:
-            carried = min(1.0, target.answer_bytes / LARGE_BYTES)
-            cost += CARRY_SHARE * carried * typical
+            size_ratio = min(1.0, target.answer_bytes / LARGE_RESPONSE_BYTES)
+            cost += OTHER_DOMAIN_COST_RATIO * size_ratio * typical
         cost += self.reluctance(target, now) * typical
-        return cost + FAILED_COST * self.failing(target, now) * typical
+        return cost + FAILURE_COST_RATIO * self.failing(target, now) * typical
 
     def failing(self, target: TargetState, now: Deadline) -> float:
         """Return the target's failure rate, which decays with time."""
         learned = target.learned
-        half_lives = (now - learned.failing_at) / FAILING_HALF_LIFE_SECONDS
+        half_lives = (now - learned.failing_at) / FAILURE_HALF_LIFE_SECONDS
         return learned.failing * 0.5 ** min(half_lives, 60.0)
 
     def answered(
@@ -249,13 +249,13 @@
     ) -> None:
         learned = target.learned
         share = self.failing(target, now)
-        learned.failing = share + FAILING_WEIGHT * (failed - share)
+        learned.failing = share + FAILURE_WEIGHT * (failed - share)
         learned.failing_at = now
 
     def slowness(self, target: TargetState, now: Deadline) -> float:
         """Return by which factor requests take longer there than usual."""
         report = target.report
-        if report is None or now - report.at > SLOWNESS_SECONDS:
+        if report is None or now - report.at > SLOWNESS_MAX_AGE_SECONDS:
             return UNKNOWN_SLOWNESS
         return max(USUAL_SLOWNESS, report.slowness)
 
@@ -265,12 +265,12 @@
         report = target.report
         if report is None:
             return float(known)
-        unseen = report.in_flight - report.own_in_flight
-        unseen -= report.peer_in_flight
-        if unseen <= 0:
+        excess = report.in_flight - report.own_in_flight
+        excess -= report.peer_in_flight
+        if excess <= 0:
             return float(known)
-        half_life = UNSEEN_HALF_LIFE_SECONDS
+        half_life = EXCESS_HALF_LIFE_SECONDS
         if not target.all_peers_report:
-            half_life = UNTOLD_HALF_LIFE_SECONDS
+            half_life = UNSHARED_HALF_LIFE_SECONDS
         half_lives = (now - report.at) / half_life
-        return known + unseen * 0.5 ** min(half_lives, 60.0)
+        return known + excess * 0.5 ** min(half_lives, 60.0)
--- a/agatetack/balance/learning.py
+++ b/agatetack/balance/learning.py
@@ -18,7 +18,7 @@
 UNKNOWN_SERVICE_SECONDS = 0.005
 """Service time assumed for a service of which no target has answered yet."""
 
-TYPICAL_SECONDS = 0.02
+TYPICAL_REFRESH_SECONDS = 0.02
 """How long a typical service time is used before it is recomputed."""
 
 DISAGREE_RATIO = 2.5
@@ -39,27 +39,27 @@
 all hosts avoid a target, its whole capacity is lost.
 """
 
-FAILURES_TO_LEAVE = 2
+FAILURES_TO_AVOID = 2
 """Consecutive failed attempts after which a target is avoided like a slow
 one."""
 
-SHED_SECONDS = 0.01
+SHED_PAUSE_SECONDS = 0.01
 """Time without new requests after a target's first shed response."""
 
-SHED_GROWTH = 4
+SHED_PAUSE_FACTOR = 4
 """Factor by which that time grows at each further shed response, until a
 request is answered."""
 
-MAX_SHED_GROWTHS = 4
+MAX_SHED_PAUSE_STEPS = 4
 """How often it grows at most."""
 
-MAX_DOUBLINGS = 4
+MAX_TRIAL_DOUBLINGS = 4
 """How often the wait before a trial doubles at most."""
 
-COLD_COST = 10
+COLD_COST_RATIO = 10
 """Additional cost of a cold target, in typical service times."""
 
-SHED_COST = 40
+SHED_COST_RATIO = 40
 """Additional cost of a target that shed a request, in typical service times.
 
 It is higher than that of a cold target. Otherwise a host that has just started,
@@ -120,17 +120,17 @@
         learned = target.learned
         times = 0.0
         if target.warm_up_rate:
-            times += COLD_COST if target.is_warming_up(now) else 0.0
+            times += COLD_COST_RATIO if target.is_warming_up(now) else 0.0
         elif target.status is TargetStatus.COLD:
             age = now - target.status_since
             ramp = max(
                 MIN_RAMP_PROBABILITY, age / self.settings.balance.cold_seconds
             )
             if self.rng.random() > ramp:
-                times += COLD_COST
+                times += COLD_COST_RATIO
         trying = learned.shed_count and learned.sent
         if now < learned.shed_until or trying:
-            times += SHED_COST
+            times += SHED_COST_RATIO
         return times
 
     def draw_near(
@@ -195,21 +195,21 @@
             # The request was sent before the pause, so this does not count as
             # a repeat.
             return
-        growths = min(learned.shed_count, MAX_SHED_GROWTHS)
-        pause = SHED_SECONDS * SHED_GROWTH**growths
+        steps = min(learned.shed_count, MAX_SHED_PAUSE_STEPS)
+        pause = SHED_PAUSE_SECONDS * SHED_PAUSE_FACTOR**steps
         learned.shed_until = now + pause * (0.5 + self.rng.random())
         learned.shed_count += 1
 
     def failed(self, target: TargetState, now: Deadline) -> None:
         """Avoid a target whose attempts fail until its next trial."""
-        if target.failures >= FAILURES_TO_LEAVE:
+        if target.failures >= FAILURES_TO_AVOID:
             self.postpone_trial(target, now)
 
     def postpone_trial(self, target: TargetState, now: Deadline) -> None:
         """Postpone the next trial, by longer at each repeat."""
         learned = target.learned
         pause = self.settings.balance.slow_retry_seconds
-        pause *= 2 ** min(learned.trial_count, MAX_DOUBLINGS)
+        pause *= 2 ** min(learned.trial_count, MAX_TRIAL_DOUBLINGS)
         learned.trial_at = now + pause * (0.5 + self.rng.random())
         learned.trial_count += 1
 
@@ -290,6 +290,6 @@
         seconds = times[len(times) // 2]
         others = sorted(target.learned.others for target in candidates)
         self.typicals[service] = Typical(
-            seconds, others[len(others) // 2], now + TYPICAL_SECONDS
+            seconds, others[len(others) // 2], now + TYPICAL_REFRESH_SECONDS
         )
         return seconds
