--- a/agatetack/balance/expected_wait.py
+++ b/agatetack/balance/expected_wait.py
@@ -50,15 +50,15 @@
     def __init__(self, settings: Settings, rng: random.Random):
         """Choose among nearly equal candidates with `rng`."""
         super().__init__(settings, rng)
-        self.half_life = settings.measure.report_half_life_seconds
-        self.reuses = settings.measure.probe_reuses
+        self.report_half_life = settings.measure.report_half_life_seconds
+        self.max_report_uses = settings.measure.probe_reuses
 
     def choose(
         self, candidates: Sequence[TargetState], now: Deadline
     ) -> TargetState | None:
         """Return one of the nearly best candidates, or one due for a trial."""
         if len(candidates) > MAX_CANDIDATES:
-            candidates = self._draw(candidates)
+            candidates = self._sample(candidates)
         typical = self.update_typical(candidates, now)
         limit = typical * self.settings.balance.slow_ratio
         best = math.inf
@@ -80,7 +80,7 @@
                 best = cost
         if best == math.inf:
             return min(candidates, key=lambda t: self.cost(t, now, typical))
-        return self.draw_near(candidates, costs, TIE_RATIO * typical)
+        return self.choose_near_lowest(candidates, costs, TIE_RATIO * typical)
 
     def cost(self, target: TargetState, now: Deadline, typical: float) -> float:
         """Return the expected seconds from sending to the response."""
@@ -92,13 +92,14 @@
             # A request that has been in flight for long shows that the target
             # is slow before a response does.
             service = max(
-                service, IN_FLIGHT_SERVICE_RATIO * learned.out_seconds(now)
+                service,
+                IN_FLIGHT_SERVICE_RATIO * learned.oldest_in_flight_seconds(now),
             )
         wait = expected_wait(
             target.in_flight, self.expected_others(target, now), target.slots
         )
-        cost = self.network(target) + service * (1 + wait)
-        return cost + self.reluctance(target, now) * typical
+        cost = self.round_trip_seconds(target) + service * (1 + wait)
+        return cost + self.extra_cost_ratio(target, now) * typical
 
     def expected_others(self, target: TargetState, now: Deadline) -> float:
         """Return the estimated number of other hosts' requests there."""
@@ -107,10 +108,10 @@
         if report is None:
             return usual
         seen = report.in_flight - report.own_in_flight
-        half_lives = (now - report.at) / self.half_life
+        half_lives = (now - report.at) / self.report_half_life
         if seen < usual:
             half_lives /= LOW_REPORT_HALF_LIFE_RATIO
-            if target.report_uses >= self.reuses:
+            if target.report_uses >= self.max_report_uses:
                 # The free slot that it reported has been used.
                 return usual
             if seen < 0:
@@ -120,7 +121,7 @@
             estimate += (seen - usual) * 0.5**half_lives
         trust = target.learned.trust
         if trust < 1:
-            known = self.typicals.get(target.service)
+            known = self.medians.get(target.service)
             common = usual if known is None else known.others
             estimate = trust * estimate + (1 - trust) * common
         return estimate
@@ -129,12 +130,12 @@
         """Return the estimated number of requests at `target` now."""
         return target.in_flight + self.expected_others(target, now)
 
-    def _draw(self, candidates: Sequence[TargetState]) -> list[TargetState]:
+    def _sample(self, candidates: Sequence[TargetState]) -> list[TargetState]:
         # A contiguous run from a random start is cheaper than a random sample.
         start = self.rng.randrange(len(candidates))
-        drawn = list(candidates[start : start + MAX_CANDIDATES])
-        drawn += candidates[: MAX_CANDIDATES - len(drawn)]
-        return drawn
+        sampled = list(candidates[start : start + MAX_CANDIDATES])
+        sampled += candidates[: MAX_CANDIDATES - len(sampled)]
+        return sampled
 
 
 def expected_wait(own: int, others: float, slots: int) -> float:
--- a/agatetack/balance/fleet_view.py
+++ b/agatetack/balance/fleet_view.py
@@ -144,7 +144,9 @@
         """
         typical = max(self.update_typical(candidates, now), MIN_TYPICAL_SECONDS)
         limit = typical * self.settings.balance.slow_ratio
-        costs = [self._weigh(t, now, typical, limit) for t in candidates]
+        costs = [
+            self._adjusted_cost(t, now, typical, limit) for t in candidates
+        ]
         if min(costs) == math.inf:
             costs = [self.cost(t, now, typical) for t in candidates]
         near = min(costs) + TIE_RATIO * typical
@@ -178,14 +180,14 @@
             and self.slowness(target, now) <= MAX_HEDGE_SLOWNESS
         ]
 
-    def _weigh(
+    def _adjusted_cost(
         self,
         target: TargetState,
         now: Deadline,
         typical: float,
         limit: float,
     ) -> float:
-        """Return a target's cost; infinite if it is avoided for now."""
+        """Return the cost; `inf` to avoid the target, `-inf` for a trial."""
         learned = target.learned
         if learned.peer_measured_at > learned.peer_applied_at:
             self.apply_peer_measurement(target, limit, now)
@@ -209,7 +211,7 @@
         if is_above_knee(load + 1, target.slots):
             service *= ABOVE_KNEE_FACTOR
         wait = max(0.0, load + 1 - target.slots) / target.slots
-        cost = self.network(target) + service * (1 + wait)
+        cost = self.round_trip_seconds(target) + service * (1 + wait)
         if not target.idle_connections:
             cost += CONNECT_COST_RATIO * typical
         if not target.all_peers_report:
@@ -217,14 +219,16 @@
         if target.failure_domain != self.domain:
             size_ratio = min(1.0, target.answer_bytes / LARGE_RESPONSE_BYTES)
             cost += OTHER_DOMAIN_COST_RATIO * size_ratio * typical
-        cost += self.reluctance(target, now) * typical
-        return cost + FAILURE_COST_RATIO * self.failing(target, now) * typical
+        cost += self.extra_cost_ratio(target, now) * typical
+        return (
+            cost + FAILURE_COST_RATIO * self.failure_rate(target, now) * typical
+        )
 
-    def failing(self, target: TargetState, now: Deadline) -> float:
+    def failure_rate(self, target: TargetState, now: Deadline) -> float:
         """Return the target's failure rate, which decays with time."""
         learned = target.learned
-        half_lives = (now - learned.failing_at) / FAILURE_HALF_LIFE_SECONDS
-        return learned.failing * 0.5 ** min(half_lives, 60.0)
+        half_lives = (now - learned.failure_rate_at) / FAILURE_HALF_LIFE_SECONDS
+        return learned.failure_rate * 0.5 ** min(half_lives, 60.0)
 
     def answered(
         self, target: TargetState, latency: float, waiting: float, now: Deadline
@@ -232,25 +236,25 @@
         """Update the estimates from a response."""
         super().answered(target, latency, waiting, now)
         self.slot_policy.answered(target, latency, waiting, now)
-        self._note_end(target, 0.0, now)
+        self._update_failure_rate(target, 0.0, now)
 
     def shed(self, target: TargetState, now: Deadline) -> None:
         """Record that `target` refused a request because of its load."""
         super().shed(target, now)
-        self._note_end(target, 1.0, now)
+        self._update_failure_rate(target, 1.0, now)
 
     def failed(self, target: TargetState, now: Deadline) -> None:
         """Record that an attempt at `target` failed."""
         super().failed(target, now)
-        self._note_end(target, 1.0, now)
+        self._update_failure_rate(target, 1.0, now)
 
-    def _note_end(
+    def _update_failure_rate(
         self, target: TargetState, failed: float, now: Deadline
     ) -> None:
         learned = target.learned
-        share = self.failing(target, now)
-        learned.failing = share + FAILURE_WEIGHT * (failed - share)
-        learned.failing_at = now
+        share = self.failure_rate(target, now)
+        learned.failure_rate = share + FAILURE_WEIGHT * (failed - share)
+        learned.failure_rate_at = now
 
     def slowness(self, target: TargetState, now: Deadline) -> float:
         """Return by which factor requests take longer there than usual."""
--- a/agatetack/balance/learned.py
+++ b/agatetack/balance/learned.py
@@ -28,8 +28,8 @@
         shed_count: Consecutive shed responses.
         trial_at: When a target that is avoided may be tried again.
         trial_count: Consecutive trials that found it still slow.
-        failing: Ratio of attempts that failed there, as of `failing_at`.
-        failing_at: When the last attempt ended.
+        failure_rate: Ratio of failed attempts, as of `failure_rate_at`.
+        failure_rate_at: When the last attempt ended.
         sent: When each request in flight was sent, oldest first.
     """
 
@@ -46,8 +46,8 @@
     shed_count: int = 0
     trial_at: float = 0.0
     trial_count: int = 0
-    failing: float = 0.0
-    failing_at: float = 0.0
+    failure_rate: float = 0.0
+    failure_rate_at: float = 0.0
     sent: dict[int, float] = dataclasses.field(default_factory=dict)
 
     def note_peer_measurement(self, service_seconds: float, at: float) -> None:
@@ -59,7 +59,7 @@
         self.peer_service_seconds = base
         self.peer_measured_at = at
 
-    def out_seconds(self, now: float) -> float:
+    def oldest_in_flight_seconds(self, now: float) -> float:
         """Return how long the oldest request has been in flight."""
         for started in self.sent.values():
             return now - started
--- a/agatetack/balance/learning.py
+++ b/agatetack/balance/learning.py
@@ -72,7 +72,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Typical:
+class ServiceMedians:
     """Medians over the targets of a service.
 
     Attributes:
@@ -90,7 +90,7 @@
     """Estimates targets' service times, and when to avoid and retry them.
 
     Attributes:
-        typicals: The medians of each service.
+        medians: The medians of each service.
         changed: Targets that became slow or recovered, to report to peers.
     """
 
@@ -99,18 +99,18 @@
         self.settings = settings
         self.rng = rng
         self.domain = settings.host.failure_domain
-        self.near_seconds = 2 * settings.balance.same_domain_seconds
-        self.far_seconds = 2 * settings.balance.other_domain_seconds
-        self.typicals: dict[ServiceId, Typical] = {}
+        self.same_domain_round_trip = 2 * settings.balance.same_domain_seconds
+        self.other_domain_round_trip = 2 * settings.balance.other_domain_seconds
+        self.medians: dict[ServiceId, ServiceMedians] = {}
         self.changed: list[TargetState] = []
 
-    def network(self, target: TargetState) -> float:
+    def round_trip_seconds(self, target: TargetState) -> float:
         """Return the network round-trip time to `target`, in seconds."""
         if target.failure_domain == self.domain:
-            return self.near_seconds
-        return self.far_seconds
+            return self.same_domain_round_trip
+        return self.other_domain_round_trip
 
-    def reluctance(self, target: TargetState, now: Deadline) -> float:
+    def extra_cost_ratio(self, target: TargetState, now: Deadline) -> float:
         """Return a target's additional cost now, in typical service times.
 
         The load of a target that has just started is ramped up. A target that
@@ -128,12 +128,12 @@
             )
             if self.rng.random() > ramp:
                 times += COLD_COST_RATIO
-        trying = learned.shed_count and learned.sent
-        if now < learned.shed_until or trying:
+        on_trial = learned.shed_count and learned.sent
+        if now < learned.shed_until or on_trial:
             times += SHED_COST_RATIO
         return times
 
-    def draw_near(
+    def choose_near_lowest(
         self,
         candidates: Sequence[TargetState],
         costs: Sequence[float],
@@ -160,9 +160,11 @@
         """Update the service time and the usual load of other hosts."""
         learned = target.learned
         ahead = max(0.0, waiting + 1 - target.slots) / target.slots
-        service = max(0.0, latency - self.network(target)) / (1 + ahead)
-        self._weigh_report(target, service)
-        limit = self._limit(target.service)
+        service = max(0.0, latency - self.round_trip_seconds(target)) / (
+            1 + ahead
+        )
+        self._update_trust(target, service)
+        limit = self._slow_limit(target.service)
         if learned.service_seconds is None:
             learned.service_seconds = service
         elif service < limit < learned.service_seconds:
@@ -248,7 +250,7 @@
 
     def typical(self, service: ServiceId) -> float:
         """Return the median service time of a service's targets."""
-        known = self.typicals.get(service)
+        known = self.medians.get(service)
         return UNKNOWN_SERVICE_SECONDS if known is None else known.seconds
 
     def take_changed(self) -> Sequence[TargetState]:
@@ -259,10 +261,10 @@
         self.changed = []
         return changed
 
-    def _limit(self, service: ServiceId) -> float:
+    def _slow_limit(self, service: ServiceId) -> float:
         return self.typical(service) * self.settings.balance.slow_ratio
 
-    def _weigh_report(self, target: TargetState, service: float) -> None:
+    def _update_trust(self, target: TargetState, service: float) -> None:
         # A response that took much longer than expected from the reports
         # contradicts them: the target has a queue that it does not report.
         learned = target.learned
@@ -276,7 +278,7 @@
     ) -> float:
         """Return the median service time, recomputed from time to time."""
         service = candidates[0].service
-        known = self.typicals.get(service)
+        known = self.medians.get(service)
         if known is not None and now < known.valid_until:
             return known.seconds
         times = [
@@ -289,7 +291,7 @@
         times.sort()
         seconds = times[len(times) // 2]
         others = sorted(target.learned.others for target in candidates)
-        self.typicals[service] = Typical(
+        self.medians[service] = ServiceMedians(
             seconds, others[len(others) // 2], now + TYPICAL_REFRESH_SECONDS
         )
         return seconds
--- a/agatetack/balance/policies.py
+++ b/agatetack/balance/policies.py
@@ -32,7 +32,7 @@
         self, candidates: Sequence[TargetState], now: Deadline
     ) -> TargetState | None:
         """Return the candidate chosen longest ago."""
-        return min(candidates, key=_chosen_at)
+        return min(candidates, key=_last_chosen_at)
 
 
 class LeastInFlight(Policy):
@@ -65,7 +65,7 @@
         if len(candidates) == 1:
             return candidates[0]
         first, second = self.rng.sample(candidates, 2)
-        if _reported(second) < _reported(first):
+        if _reported_load(second) < _reported_load(first):
             return second
         return first
 
@@ -94,9 +94,9 @@
     return ExpectedWait(settings, rng)
 
 
-def _chosen_at(target: TargetState) -> float:
+def _last_chosen_at(target: TargetState) -> float:
     return -1.0 if target.last_chosen_at is None else target.last_chosen_at
 
 
-def _reported(target: TargetState) -> int:
+def _reported_load(target: TargetState) -> int:
     return 0 if target.report is None else target.report.in_flight
