--- a/agatetack/admission/test_order.py
+++ b/agatetack/admission/test_order.py
@@ -7,7 +7,7 @@
 from agatetack.admission.controller import Priority
 from agatetack.admission.service import LATE_POLL_SECONDS
 from agatetack.admission.service_queue import LATE_YIELD_SECONDS
-from agatetack.admission.test_support import fill, make_bed
+from agatetack.admission.test_support import fill, make_harness
 from agatetack.ids import Deadline
 from agatetack.outcomes import RefusalReason
 from agatetack.targets.state import LoadReport, ReportSource
@@ -15,51 +15,51 @@
 
 
 async def test_full_queue_refuses_and_tells_when_to_come_back(autojump_clock):
-    bed = make_bed(max_queue=2)
+    harness = make_harness(max_queue=2)
     async with trio.open_nursery() as nursery:
-        await fill(bed, nursery, "abcd")
-        assert list(bed.refused) == ["d"]
-        assert bed.refused["d"].reason is RefusalReason.QUEUE_FULL
+        await fill(harness, nursery, "abcd")
+        assert list(harness.refused) == ["d"]
+        assert harness.refused["d"].reason is RefusalReason.QUEUE_FULL
         nursery.cancel_scope.cancel()
 
 
 async def test_standing_queue_is_served_newest_first(autojump_clock):
-    bed = make_bed(max_queue=2, standing_queue_seconds=0.1)
+    harness = make_harness(max_queue=2, standing_queue_seconds=0.1)
     async with trio.open_nursery() as nursery:
-        await fill(bed, nursery, "abc")
+        await fill(harness, nursery, "abc")
         await trio.sleep(0.2)
-        await fill(bed, nursery, "d")
+        await fill(harness, nursery, "d")
         # The oldest waiter is evicted and refused at once.
-        assert list(bed.refused) == ["b"]
-        bed.answer()
+        assert list(harness.refused) == ["b"]
+        harness.answer()
         await trio.testing.wait_all_tasks_blocked()
-        assert bed.served == ["a", "d"]
+        assert harness.served == ["a", "d"]
         nursery.cancel_scope.cancel()
 
 
 async def test_callers_and_routes_take_turns(autojump_clock):
-    bed = make_bed()
+    harness = make_harness()
     async with trio.open_nursery() as nursery:
-        await fill(bed, nursery, ["first", "a1", "a2", "a3"], caller="busy")
-        await fill(bed, nursery, ["b1"], caller="other")
-        await fill(bed, nursery, ["r1", "r2"], route=make_route("second"))
+        await fill(harness, nursery, ["first", "a1", "a2", "a3"], caller="busy")
+        await fill(harness, nursery, ["b1"], caller="other")
+        await fill(harness, nursery, ["r1", "r2"], route=make_route("second"))
         for _ in range(7):
             await trio.testing.wait_all_tasks_blocked()
-            bed.answer()
-    assert bed.served == ["first", "a1", "r1", "b1", "r2", "a2", "a3"]
+            harness.answer()
+    assert harness.served == ["first", "a1", "r1", "b1", "r2", "a2", "a3"]
 
 
 async def test_low_priority_never_goes_first(autojump_clock):
-    bed = make_bed()
+    harness = make_harness()
     async with trio.open_nursery() as nursery:
-        await fill(bed, nursery, ["a"])
-        await fill(bed, nursery, ["low"], priority=Priority.LOW)
-        await fill(bed, nursery, ["b", "c"])
+        await fill(harness, nursery, ["a"])
+        await fill(harness, nursery, ["low"], priority=Priority.LOW)
+        await fill(harness, nursery, ["b", "c"])
         for _ in range(3):
-            assert "low" not in bed.served
-            bed.answer()
+            assert "low" not in harness.served
+            harness.answer()
             await trio.testing.wait_all_tasks_blocked()
-    assert bed.served == ["a", "b", "c", "low"]
+    assert harness.served == ["a", "b", "c", "low"]
 
 
 @pytest.mark.parametrize(
@@ -76,44 +76,44 @@
 async def test_low_priority_takes_free_slots_only(
     autojump_clock, others, quiet, served
 ):
-    bed = make_bed(limit=8)
+    harness = make_harness(limit=8)
     if not quiet:
-        await bed.ask("normal")
-        bed.answer()
-    target = bed.targets[0]
+        await harness.ask("normal")
+        harness.answer()
+    target = harness.targets[0]
     target.learned.others = others
     now = Deadline(trio.current_time())
     report = LoadReport(others, 2, 0, now, ReportSource.ANSWER)
-    bed.registry.note_report(target, report)
+    harness.registry.note_report(target, report)
     with trio.move_on_after(0.001):
-        await bed.ask("low", priority=Priority.LOW)
-    assert ("low" in bed.served) is served
+        await harness.ask("low", priority=Priority.LOW)
+    assert ("low" in harness.served) is served
 
 
 async def test_low_priority_sees_estimates_fade(autojump_clock):
-    bed = make_bed(limit=8)
+    harness = make_harness(limit=8)
     now = Deadline(trio.current_time())
     report = LoadReport(2, 2, 0, now, ReportSource.ANSWER)
-    bed.registry.note_report(bed.targets[0], report)
-    await bed.ask("low", priority=Priority.LOW)
-    assert bed.served == ["low"]
+    harness.registry.note_report(harness.targets[0], report)
+    await harness.ask("low", priority=Priority.LOW)
+    assert harness.served == ["low"]
     assert 0 < trio.current_time() - now < 1
 
 
 async def test_who_can_be_in_time_goes_before_who_can_not(autojump_clock):
-    bed = make_bed(standing_queue_seconds=100)
+    harness = make_harness(standing_queue_seconds=100)
     route = make_route(target_latency_seconds=0.4)
-    bed.admission._service_queue(route.service).note_latency(0.2)
+    harness.admission._service_queue(route.service).note_latency(0.2)
     async with trio.open_nursery() as nursery:
-        await fill(bed, nursery, ["first", "late"], route=route)
+        await fill(harness, nursery, ["first", "late"], route=route)
         # Of the target latency of 0.4 s less than 0.15 s is left, which is
         # three quarters of the usual latency of 0.2 s.
         await trio.sleep(0.3)
-        await fill(bed, nursery, ["in time", "next"], route=route)
+        await fill(harness, nursery, ["in time", "next"], route=route)
         for _ in range(4):
-            bed.answer(0.2)
+            harness.answer(0.2)
             await trio.testing.wait_all_tasks_blocked()
-    assert bed.served == ["first", "in time", "next", "late"]
+    assert harness.served == ["first", "in time", "next", "late"]
 
 
 @pytest.mark.parametrize(
@@ -122,19 +122,19 @@
 async def test_late_requests_leave_a_slot_to_other_hosts_first(
     autojump_clock, waited, served_after
 ):
-    bed = make_bed()
+    harness = make_harness()
     route = make_route(target_latency_seconds=0.4)
-    bed.admission._service_queue(route.service).note_latency(0.2)
+    harness.admission._service_queue(route.service).note_latency(0.2)
     # The hosts take turns at the target's free slots.
-    bed.targets[0].free_slot_at = Deadline(0.001)
+    harness.targets[0].free_slot_at = Deadline(0.001)
     await trio.sleep(1.0)
     async with trio.open_nursery() as nursery:
-        await fill(bed, nursery, ["first", "second"], route=route)
+        await fill(harness, nursery, ["first", "second"], route=route)
         await trio.sleep(waited)
         freed_at = trio.current_time()
-        bed.answer(0.2)
-        while bed.served != ["first", "second"]:
+        harness.answer(0.2)
+        while harness.served != ["first", "second"]:
             await trio.sleep(0.001)
         took = trio.current_time() - freed_at
         assert served_after <= took <= served_after + LATE_POLL_SECONDS
-        bed.answer(0.2)
+        harness.answer(0.2)
--- a/agatetack/admission/test_support.py
+++ b/agatetack/admission/test_support.py
@@ -23,7 +23,7 @@
 
 
 @dataclasses.dataclass
-class Bed:
+class Harness:
     """An admission controller with its registry and the results of requests."""
 
     registry: TargetRegistry
@@ -64,20 +64,20 @@
         permit.release(ANSWERED)
 
 
-def make_bed(targets=1, limit=1, fleet=1, **admission):
+def make_harness(targets=1, limit=1, fleet=1, **admission):
     settings = default_settings(
         admission={"max_target_limit": limit, **admission}
     )
     registry = TargetRegistry(settings, Metrics())
     registry.update([listed_target(n + 1) for n in range(targets)])
-    made = ServiceAdmission(
+    admission_controller = ServiceAdmission(
         settings, registry, make_policy(settings, 1), Metrics(), lambda: fleet
     )
-    return Bed(registry, made)
+    return Harness(registry, admission_controller)
 
 
-async def fill(bed, nursery, names, **fields):
+async def fill(harness, nursery, names, **fields):
     """Start requests one after the other."""
     for name in names:
-        nursery.start_soon(lambda name=name: bed.ask(name, **fields))
+        nursery.start_soon(lambda name=name: harness.ask(name, **fields))
         await trio.testing.wait_all_tasks_blocked()
