--- a/agatetack/admission/service.py
+++ b/agatetack/admission/service.py
@@ -42,20 +42,20 @@
     """Permission to send one attempt, which its target counts as in flight.
 
     Attributes:
-        waiting: Requests estimated at the target when the permit was granted.
-        started: When it was granted.
-        undone: Failures of the target that were reset when the response's
-            headers arrived.
+        load_before: Estimated requests at the target when this was granted.
+        started: When this was granted.
+        cleared_failures: Failures of the target that were reset when the
+            response's headers arrived.
     """
 
     __slots__ = (
         "target",
         "admission",
         "number",
-        "waiting",
+        "load_before",
         "started",
-        "undone",
-        "done",
+        "cleared_failures",
+        "released",
     )
 
     def __init__(
@@ -63,17 +63,17 @@
         admission: "ServiceAdmission",
         target: TargetState,
         number: int,
-        waiting: float,
+        load_before: float,
         started: Deadline,
     ):
         """Store what the release needs."""
         self.target = target
         self.admission = admission
         self.number = number
-        self.waiting = waiting
+        self.load_before = load_before
         self.started = started
-        self.undone = 0
-        self.done = False
+        self.cleared_failures = 0
+        self.released = False
 
     def answered_headers(self, latency: float) -> None:
         """Record that the headers arrived `latency` seconds after the start."""
@@ -81,9 +81,9 @@
 
     def release(self, result: AttemptResult) -> None:
         """Release the target's slot; a second release does nothing."""
-        if self.done:
+        if self.released:
             return
-        self.done = True
+        self.released = True
         self.admission.note_release(self, result)
 
 
@@ -123,7 +123,7 @@
         self.limits = TargetLimits(settings)
         self.rates = RouteRates(fleet_size)
         self.service_queues: dict[ServiceId, ServiceQueue] = {}
-        self.numbers = itertools.count()
+        self.permit_numbers = itertools.count()
         self.queued = metrics.gauge(
             "agatetack_queued", "Requests waiting for a target, by service."
         )
@@ -174,20 +174,22 @@
         queue.add(waiter, now)
         # A slot may have become free while other requests were waiting.
         self._serve(queue, now)
-        self._show_queue(queue)
+        self._update_queue_gauge(queue)
         try:
-            await self._until_served(queue, waiter, now)
+            await self._wait_until_served(queue, waiter, now)
         except trio.Cancelled:
             if waiter.target is not None:
-                self._give_back(waiter.target)
+                self._release_slot(waiter.target)
             raise
         finally:
             queue.forget(waiter)
-            self._show_queue(queue)
+            self._update_queue_gauge(queue)
         now = Deadline(trio.current_time())
         if waiter.target is not None:
             self._count_wait(queue, "served")
-            return Success(self._permit(waiter.target, now, counted=True))
+            return Success(
+                self._permit(waiter.target, now, already_counted=True)
+            )
         self._count_wait(queue, "refused")
         if waiter.refusal is not None:
             return Failure(waiter.refusal)
@@ -199,7 +201,7 @@
             )
         )
 
-    async def _until_served(
+    async def _wait_until_served(
         self, queue: ServiceQueue, waiter: Waiter, now: Deadline
     ) -> None:
         with trio.move_on_at(queue.give_up_at(waiter.wanted, now)):
@@ -220,7 +222,7 @@
         now = Deadline(trio.current_time())
         target = permit.target
         target.last_answer_at = now
-        permit.undone = target.failures
+        permit.cleared_failures = target.failures
         target.failures = 0
         target.recent.append(latency)
         if target.latency is None:
@@ -230,7 +232,7 @@
         # The wait for a slot ends with the headers. A long body must not make
         # the target look stuck.
         target.learned.sent.pop(permit.number, None)
-        self.policy.answered(target, latency, permit.waiting, now)
+        self.policy.answered(target, latency, permit.load_before, now)
         self.limits.answered(target)
         self._service_queue(target.service).note_latency(latency)
 
@@ -252,7 +254,7 @@
         elif result is AttemptResult.FAILED:
             # A truncated response is a failure, so the failures that its
             # headers reset count again.
-            target.failures += 1 + permit.undone
+            target.failures += 1 + permit.cleared_failures
             self.policy.failed(target, now)
         # This host's own waiting requests go first, as other hosts learn of the
         # free slot only after a message has reached them.
@@ -273,14 +275,14 @@
         return queue
 
     def _permit(
-        self, target: TargetState, now: Deadline, counted: bool = False
+        self, target: TargetState, now: Deadline, already_counted: bool = False
     ) -> ServicePermit:
-        waiting = self.policy.expected_load(target, now)
-        if counted:
-            waiting -= 1
+        load_before = self.policy.expected_load(target, now)
+        if already_counted:
+            load_before -= 1
         else:
             target.in_flight += 1
-        number = next(self.numbers)
+        number = next(self.permit_numbers)
         target.learned.sent[number] = now
         target.last_chosen_at = now
         target.report_uses += 1
@@ -288,9 +290,9 @@
         self.registry.note_in_flight(target)
         for watcher in self.registry.choice_watchers:
             watcher(target.service)
-        return ServicePermit(self, target, number, waiting, now)
+        return ServicePermit(self, target, number, load_before, now)
 
-    def _give_back(self, target: TargetState) -> None:
+    def _release_slot(self, target: TargetState) -> None:
         target.in_flight -= 1
         now = Deadline(trio.current_time())
         self._serve(self._service_queue(target.service), now)
@@ -310,7 +312,7 @@
         if queue.size:
             queue.serve(now)
 
-    def _show_queue(self, queue: ServiceQueue) -> None:
+    def _update_queue_gauge(self, queue: ServiceQueue) -> None:
         self.queued.set({"service": queue.service}, queue.size)
 
     def _count_wait(self, queue: ServiceQueue, result: str) -> None:
--- a/agatetack/balance/fleet_view.py
+++ b/agatetack/balance/fleet_view.py
@@ -231,11 +231,11 @@
         return learned.failure_rate * 0.5 ** min(half_lives, 60.0)
 
     def answered(
-        self, target: TargetState, latency: float, waiting: float, now: Deadline
+        self, target: TargetState, latency: float, ahead: float, now: Deadline
     ) -> None:
         """Update the estimates from a response."""
-        super().answered(target, latency, waiting, now)
-        self.slot_policy.answered(target, latency, waiting, now)
+        super().answered(target, latency, ahead, now)
+        self.slot_policy.answered(target, latency, ahead, now)
         self._update_failure_rate(target, 0.0, now)
 
     def shed(self, target: TargetState, now: Deadline) -> None:
--- a/agatetack/balance/learning.py
+++ b/agatetack/balance/learning.py
@@ -155,13 +155,13 @@
         return self.rng.choice(ties)
 
     def answered(
-        self, target: TargetState, latency: float, waiting: float, now: Deadline
+        self, target: TargetState, latency: float, ahead: float, now: Deadline
     ) -> None:
         """Update the service time and the usual load of other hosts."""
         learned = target.learned
-        ahead = max(0.0, waiting + 1 - target.slots) / target.slots
+        wait_ratio = max(0.0, ahead + 1 - target.slots) / target.slots
         service = max(0.0, latency - self.round_trip_seconds(target)) / (
-            1 + ahead
+            1 + wait_ratio
         )
         self._update_trust(target, service)
         limit = self._slow_limit(target.service)
--- a/agatetack/balance/policy.py
+++ b/agatetack/balance/policy.py
@@ -41,14 +41,14 @@
         """Record that an attempt goes to `target`, which already counts it."""
 
     def answered(  # noqa: B027
-        self, target: TargetState, latency: float, waiting: float, now: Deadline
+        self, target: TargetState, latency: float, ahead: float, now: Deadline
     ) -> None:
         """Update the estimates from one response.
 
         Args:
             target: The target that answered.
             latency: Seconds from the attempt's start to the response's headers.
-            waiting: Requests that were expected ahead of it when it started.
+            ahead: Requests that were expected ahead of it when it started.
             now: The time of the response.
         """
 
