--- a/agatetack/admission/queue.py
+++ b/agatetack/admission/queue.py
@@ -75,7 +75,7 @@
         if queue is None or waiter not in queue:
             return
         queue.remove(waiter)
-        self._forget(waiter)
+        self._update_counts(waiter)
 
     def waiters(self) -> list[Waiter]:
         """Return all waiters."""
@@ -125,7 +125,7 @@
             return None
         return max(callers.values(), key=len)[0]
 
-    def _forget(self, waiter: Waiter) -> None:
+    def _update_counts(self, waiter: Waiter) -> None:
         route = waiter.wanted.route.id
         caller = waiter.wanted.request.caller
         self.size -= 1
--- a/agatetack/admission/service.py
+++ b/agatetack/admission/service.py
@@ -30,7 +30,7 @@
 LATENCY_WEIGHT = 0.1
 """Weight of one response in the moving average of a target's latency."""
 
-LOW_POLL_SECONDS = 0.05
+LOW_PRIORITY_POLL_SECONDS = 0.05
 """How often a waiting low-priority request polls for a free slot."""
 
 LATE_POLL_SECONDS = 0.02
@@ -152,7 +152,7 @@
         refusal = queue.check(wanted, now)
         if refusal is not None:
             return Failure(refusal)
-        target = queue.take_now(wanted, now)
+        target = queue.choose_now(wanted, now)
         if target is not None:
             return Success(self._permit(target, now))
         if not wanted.wait:
@@ -162,7 +162,7 @@
     def retry_at(self, route: Route) -> Deadline:
         """Return when a refused caller should retry."""
         now = Deadline(trio.current_time())
-        return self._service_queue(route.service).come_back_at(route, now)
+        return self._service_queue(route.service).route_retry_at(route, now)
 
     async def _wait(
         self, queue: ServiceQueue, wanted: PermitRequest, now: Deadline
@@ -182,7 +182,7 @@
                 self._release_slot(waiter.target)
             raise
         finally:
-            queue.forget(waiter)
+            queue.remove(waiter)
             self._update_queue_gauge(queue)
         now = Deadline(trio.current_time())
         if waiter.target is not None:
@@ -205,9 +205,9 @@
         self, queue: ServiceQueue, waiter: Waiter, now: Deadline
     ) -> None:
         with trio.move_on_at(queue.give_up_at(waiter.wanted, now)):
-            poll = LOW_POLL_SECONDS
+            poll = LOW_PRIORITY_POLL_SECONDS
             if waiter.wanted.priority is not Priority.LOW:
-                with trio.move_on_at(queue.look_again_at(waiter.wanted, now)):
+                with trio.move_on_at(queue.poll_from(waiter.wanted, now)):
                     await waiter.event.wait()
                 poll = LATE_POLL_SECONDS
             # Load estimates decay with time, and other hosts' turns to take a
--- a/agatetack/admission/service_queue.py
+++ b/agatetack/admission/service_queue.py
@@ -16,15 +16,15 @@
 LATENCY_WEIGHT = 0.05
 """Weight of one response in the service's moving average of the latency."""
 
-QUICK_SHARE = 0.5
+MIN_LATENCY_RATIO = 0.5
 """Ratio of the usual latency below which no response is expected. A request
 with less time left before its deadline is refused."""
 
-GAP_WEIGHT = 0.1
+INTERVAL_WEIGHT = 0.1
 """Weight of one interval in the moving average of the time between two waiters
 that get a target."""
 
-IN_TIME_SHARE = 0.75
+IN_TIME_LATENCY_RATIO = 0.75
 """Ratio of the usual latency that has to be left of a route's target latency
 for a response to be in time.
 
@@ -36,7 +36,7 @@
 meet their target latency. In this time about 14 hosts get their turn to take
 the slot (see `measure.occupancy`)."""
 
-LOW_QUIET_SECONDS = 1.0
+LOW_PRIORITY_QUIET_SECONDS = 1.0
 """Time without normal-priority requests after which low-priority ones may use
 every slot."""
 
@@ -46,14 +46,14 @@
 
     Attributes:
         queues: Waiting requests, by priority.
-        latency: Moving average of the time to a response, in seconds, or None
-            before the first response.
-        gap: Moving average of the time between two waiters that get a target,
-            in seconds, or None before the first.
-        served_at: When the last waiter got a target, or when the queue last
-            became non-empty, if that is later.
+        mean_latency: Moving average of the time to a response, in seconds, or
+            None before the first response.
+        mean_interval: Moving average of the time between two waiters that get
+            a target, in seconds, or None before the first.
+        last_served_at: When the last waiter got a target, or when the queue
+            last became non-empty, if that is later.
         standing_since: Since when the queue has not been empty, or None.
-        normal_at: When the last normal-priority request arrived.
+        last_normal_at: When the last normal-priority request arrived.
     """
 
     def __init__(
@@ -79,11 +79,11 @@
         self.policy = policy
         self.share = share
         self.queues = new_queues()
-        self.latency: float | None = None
-        self.gap: float | None = None
-        self.served_at = Deadline(0.0)
+        self.mean_latency: float | None = None
+        self.mean_interval: float | None = None
+        self.last_served_at = Deadline(0.0)
         self.standing_since: Deadline | None = None
-        self.normal_at = Deadline(float("-inf"))
+        self.last_normal_at = Deadline(float("-inf"))
 
     @property
     def size(self) -> int:
@@ -93,13 +93,15 @@
     def check(self, wanted: PermitRequest, now: Deadline) -> Refusal | None:
         """Return a refusal if the request cannot be answered at all."""
         if wanted.priority is Priority.NORMAL:
-            self.normal_at = now
+            self.last_normal_at = now
         if now >= wanted.deadline:
-            return self._late(now, "The deadline has passed.")
-        if not self._usable(wanted.route):
+            return self._refuse_late(now, "The deadline has passed.")
+        if not self._usable_targets(wanted.route):
             return self._refuse_without_target(now)
-        if now + self.quick_latency > wanted.deadline:
-            return self._late(now, "Answers take longer than the time left.")
+        if now + self.min_expected_latency > wanted.deadline:
+            return self._refuse_late(
+                now, "Answers take longer than the time left."
+            )
         return None
 
     def check_queue(
@@ -109,52 +111,54 @@
         queue = self.queues[wanted.priority]
         route = wanted.route
         newest_first = self._order(now) is Order.NEWEST_FIRST
-        ahead = 0 if newest_first else self._ahead(wanted)
+        ahead = 0 if newest_first else self._waiting_ahead(wanted)
         max_in_time = self._max_sends_in_time(wanted, now)
-        if max_in_time <= self._ahead(wanted):
+        if max_in_time <= self._waiting_ahead(wanted):
             oldest = queue.oldest_of_longest(route.id)
             if not newest_first or oldest is None or not max_in_time:
                 return self._refuse_for_share(wanted, now)
             # Newest first, the oldest waiter is served last, which is too late.
-            self._push_out(oldest, self._refuse_for_share(wanted, now))
-        wait = ahead * (self.gap or 0.0)
-        if now + wait + self.quick_latency > wanted.deadline:
-            return self._late(now, "The queue is longer than the time left.")
+            self._evict(oldest, self._refuse_for_share(wanted, now))
+        wait = ahead * (self.mean_interval or 0.0)
+        if now + wait + self.min_expected_latency > wanted.deadline:
+            return self._refuse_late(
+                now, "The queue is longer than the time left."
+            )
         queue_limit = route.max_queue or self.settings.admission.max_queue
         if queue.route_sizes.get(route.id, 0) < queue_limit:
             return None
         oldest = queue.oldest_of_longest(route.id)
         if newest_first and oldest is not None:
             refusal = self.refuse_full(now, "Newer requests go first now.")
-            self._push_out(oldest, refusal)
+            self._evict(oldest, refusal)
             return None
         return self.refuse_full(now, "The route's queue is full.")
 
-    def _usable(self, route: Route) -> Sequence[TargetState]:
+    def _usable_targets(self, route: Route) -> Sequence[TargetState]:
         """Return the targets that may get new requests of `route`."""
         return self.registry.targets_in(self.service, route.regions)
 
     def _next_send_at(self, wanted: PermitRequest, now: Deadline) -> Deadline:
         """Return the earliest time this host may send to one of the targets."""
-        targets = self._usable(wanted.route)
+        targets = self._usable_targets(wanted.route)
         return min(self.share.next_send_at(target, now) for target in targets)
 
     def _max_sends_in_time(self, wanted: PermitRequest, now: Deadline) -> float:
         """Return how many requests this host's share allows in time."""
-        until = Deadline(wanted.deadline - self.quick_latency)
+        until = Deadline(wanted.deadline - self.min_expected_latency)
         return sum(
             self.share.max_requests_until(target, now, until)
-            for target in self._usable(wanted.route)
+            for target in self._usable_targets(wanted.route)
         )
 
     def _fleet_next_send_at(self, route: Route, now: Deadline) -> Deadline:
         """Return the earliest time any host may send to one of the targets."""
-        targets = self._usable(route)
+        targets = self._usable_targets(route)
         return min(
             self.share.fleet_next_send_at(target, now) for target in targets
         )
 
-    def take_now(
+    def choose_now(
         self, wanted: PermitRequest, now: Deadline
     ) -> TargetState | None:
         """Return a target unless other waiting requests go first."""
@@ -169,10 +173,10 @@
         """Add `waiter` to the queue of its priority."""
         if not self.size:
             self.standing_since = now
-            self.served_at = now
+            self.last_served_at = now
         self.queues[waiter.wanted.priority].add(waiter)
 
-    def forget(self, waiter: Waiter) -> None:
+    def remove(self, waiter: Waiter) -> None:
         """Remove `waiter` if it is still queued."""
         self.queues[waiter.wanted.priority].remove(waiter)
         if not self.size:
@@ -217,33 +221,33 @@
 
     def give_up_at(self, wanted: PermitRequest, now: Deadline) -> Deadline:
         """Return when a target would be free too late to answer in time."""
-        latest = wanted.deadline - self.quick_latency
+        latest = wanted.deadline - self.min_expected_latency
         return Deadline(max(now, latest))
 
     def retry_at(self, now: Deadline) -> Deadline:
         """Return when a refused caller should retry."""
-        wait = self.queues[Priority.NORMAL].size * (self.gap or 0.0)
+        wait = self.queues[Priority.NORMAL].size * (self.mean_interval or 0.0)
         min_wait = self.settings.admission.retry_after_seconds
         return Deadline(now + max(min_wait, wait))
 
-    def come_back_at(self, route: Route, now: Deadline) -> Deadline:
+    def route_retry_at(self, route: Route, now: Deadline) -> Deadline:
         """Return when a caller should retry that the targets refused.
 
         The delay that one target asked for does not apply to the others.
         """
         retry_at = self.retry_at(now)
-        if not self._usable(route):
+        if not self._usable_targets(route):
             return retry_at
         return max(retry_at, self._fleet_next_send_at(route, now))
 
-    def look_again_at(self, wanted: PermitRequest, now: Deadline) -> Deadline:
+    def poll_from(self, wanted: PermitRequest, now: Deadline) -> Deadline:
         """Return when a waiting request has to start polling for a target.
 
         No event announces that this host's share of a target allows another
         request, or that load estimates decay once the response is late.
         """
         late_at = self.late_at(wanted)
-        targets = self._usable(wanted.route)
+        targets = self._usable_targets(wanted.route)
         if not targets:
             return late_at
         next_send_at = self._next_send_at(wanted, now)
@@ -254,7 +258,7 @@
         target = wanted.route.target_latency_seconds
         if not target:
             return wanted.deadline
-        usual = IN_TIME_SHARE * (self.latency or 0.0)
+        usual = IN_TIME_LATENCY_RATIO * (self.mean_latency or 0.0)
         return Deadline(wanted.request.arrived + target - usual)
 
     def refuse_full(self, now: Deadline, detail: str) -> Refusal:
@@ -263,17 +267,17 @@
 
     def note_latency(self, latency: float) -> None:
         """Update the moving average of the time to a response."""
-        if self.latency is None:
-            self.latency = latency
+        if self.mean_latency is None:
+            self.mean_latency = latency
         else:
-            self.latency += LATENCY_WEIGHT * (latency - self.latency)
+            self.mean_latency += LATENCY_WEIGHT * (latency - self.mean_latency)
 
     @property
-    def quick_latency(self) -> float:
+    def min_expected_latency(self) -> float:
         """Return the shortest time in which a response is expected."""
-        return QUICK_SHARE * (self.latency or 0.0)
+        return MIN_LATENCY_RATIO * (self.mean_latency or 0.0)
 
-    def _late(self, now: Deadline, detail: str) -> Refusal:
+    def _refuse_late(self, now: Deadline, detail: str) -> Refusal:
         return refuse(
             RefusalReason.CANNOT_MEET_DEADLINE, detail, self.retry_at(now)
         )
@@ -285,13 +289,13 @@
             return Order.NEWEST_FIRST
         return Order.OLDEST_FIRST
 
-    def _ahead(self, wanted: PermitRequest) -> int:
+    def _waiting_ahead(self, wanted: PermitRequest) -> int:
         ahead = self.queues[Priority.NORMAL].size
         if wanted.priority is Priority.LOW:
             ahead += self.queues[Priority.LOW].size
         return ahead
 
-    def _push_out(self, waiter: Waiter, refusal: Refusal) -> None:
+    def _evict(self, waiter: Waiter, refusal: Refusal) -> None:
         waiter.refusal = refusal
         self.queues[waiter.wanted.priority].remove(waiter)
         waiter.event.set()
@@ -315,17 +319,21 @@
         return True
 
     def _note_served(self, now: Deadline) -> None:
-        gap = now - self.served_at
-        self.served_at = now
-        if self.gap is None:
-            self.gap = gap
+        interval = now - self.last_served_at
+        self.last_served_at = now
+        if self.mean_interval is None:
+            self.mean_interval = interval
         else:
-            self.gap += GAP_WEIGHT * (gap - self.gap)
+            self.mean_interval += INTERVAL_WEIGHT * (
+                interval - self.mean_interval
+            )
 
     def _choose(
         self, wanted: PermitRequest, now: Deadline
     ) -> TargetState | None:
-        free = self._free(self._usable(wanted.route), wanted, now)
+        free = self._free_targets(
+            self._usable_targets(wanted.route), wanted, now
+        )
         if not free:
             return None
         target = self.policy.choose(free, now)
@@ -338,7 +346,7 @@
         self.share.record_request(target)
         return target
 
-    def _free(
+    def _free_targets(
         self,
         usable: Sequence[TargetState],
         wanted: PermitRequest,
@@ -350,12 +358,12 @@
             if target.in_flight < target.limit and self.share.allows(target)
         ]
         if wanted.avoid:
-            other = [t for t in free if t.id not in wanted.avoid]
+            others = [t for t in free if t.id not in wanted.avoid]
             # If there is no other target, a retry may go to the same one again,
             # but a hedge would only queue there behind its own first attempt.
-            if other or not wanted.wait:
-                free = other
-        free = _proven(free, wanted)
+            if others or not wanted.wait:
+                free = others
+        free = _without_unsuitable_trials(free, wanted)
         if now >= self.late_at(wanted):
             latest = now - LATE_YIELD_SECONDS
             free = [
@@ -370,13 +378,15 @@
             due = [target for target in free if self.share.is_due(target, now)]
             free = due or free
         if wanted.priority is Priority.LOW:
-            return self._idle(free, now)
+            return self._with_idle_slots(free, now)
         return free
 
-    def _idle(
+    def _with_idle_slots(
         self, free: Sequence[TargetState], now: Deadline
     ) -> Sequence[TargetState]:
-        reserve = 1 if now - self.normal_at < LOW_QUIET_SECONDS else 0
+        reserve = (
+            1 if now - self.last_normal_at < LOW_PRIORITY_QUIET_SECONDS else 0
+        )
         return [
             target
             for target in free
@@ -385,7 +395,7 @@
         ]
 
 
-def _proven(
+def _without_unsuitable_trials(
     free: Sequence[TargetState], wanted: PermitRequest
 ) -> Sequence[TargetState]:
     """Return the targets without those on trial that should not get `wanted`.
