--- a/agatetack/balance/cold_share.py
+++ b/agatetack/balance/cold_share.py
@@ -25,7 +25,7 @@
 second: the owner by the host list before a host joined or left, the owner by
 the list after it, and a restarted host that has lost track of what it sent."""
 
-OWNED_SECONDS = 0.3
+OWNER_REFRESH_SECONDS = 0.3
 """How often a target's owner is recomputed, which takes about 30 hashes for
 each target. A changed host list takes effect as fast as most other updates."""
 
@@ -41,7 +41,7 @@
 """Returns the registered hosts, including this one if it is registered."""
 
 
-class OwnedTarget:
+class Ownership:
     """What this host knows of the ownership of a cold target.
 
     Attributes:
@@ -78,18 +78,18 @@
         registered: Registered,
     ):
         """Find owners among the hosts that `registered` returns."""
-        self.own = HostId(settings.host.id)
+        self.own_id = HostId(settings.host.id)
         self.limits = settings.balance
         self.registry = registry
         self.registered = registered
-        self.targets: dict[ProcessId, OwnedTarget] = {}
+        self.targets: dict[ProcessId, Ownership] = {}
 
     def allows(self, target: TargetState) -> bool:
         """Return whether this host may send one more request to `target`."""
         now = Deadline(trio.current_time())
         if not target.is_warming_up(now):
             return True
-        if self._rate(target) <= 0 or not self._find(target, now).own:
+        if self._rate(target) <= 0 or not self._ownership(target, now).own:
             return False
         return now >= self._free_at(target, now)
 
@@ -97,7 +97,7 @@
         """Return the earliest time it may send; `now` if not known."""
         if not target.is_warming_up(now) or not target.warmth.known:
             return now
-        if self._rate(target) > 0 and self._find(target, now).own:
+        if self._rate(target) > 0 and self._ownership(target, now).own:
             return max(now, self._free_at(target, now))
         return target.warmth.warm_at
 
@@ -106,12 +106,12 @@
         now = Deadline(trio.current_time())
         rate = self._rate(target)
         if rate > 0 and target.is_warming_up(now):
-            self._find(target, now).free_at = Deadline(now + 1 / rate)
+            self._ownership(target, now).free_at = Deadline(now + 1 / rate)
 
     def _free_at(self, target: TargetState, now: Deadline) -> Deadline:
         """Return when the owner may next send to `target`."""
         quiet_until = Deadline(target.warmth.cold_since + QUIET_SECONDS)
-        return max(self._find(target, now).free_at, quiet_until)
+        return max(self._ownership(target, now).free_at, quiet_until)
 
     def _rate(self, target: TargetState) -> float:
         """Return the requests per second that one owner may send.
@@ -123,15 +123,15 @@
         max_rate += limits.cold_rate_slack
         return min(target.warm_up_rate, max_rate / MAX_OWNERS - 1)
 
-    def _find(self, target: TargetState, now: Deadline) -> OwnedTarget:
-        owned = self.targets.get(target.process)
-        if owned is None:
-            self._forget_gone()
-            owned = self.targets[target.process] = OwnedTarget()
-        if now >= owned.until:
-            owned.own = self._owns(target)
-            owned.until = Deadline(now + OWNED_SECONDS)
-        return owned
+    def _ownership(self, target: TargetState, now: Deadline) -> Ownership:
+        ownership = self.targets.get(target.process)
+        if ownership is None:
+            self._remove_ended_targets()
+            ownership = self.targets[target.process] = Ownership()
+        if now >= ownership.until:
+            ownership.own = self._owns(target)
+            ownership.until = Deadline(now + OWNER_REFRESH_SECONDS)
+        return ownership
 
     def _owns(self, target: TargetState) -> bool:
         """Return whether this host owns `target`; False if it is not listed.
@@ -142,8 +142,8 @@
         listed = self.registered()
         near = [h for h in listed if h.failure_domain == target.failure_domain]
         names = [host.id for host in near or listed]
-        return self.own in names and owner(names, target.id) == self.own
+        return self.own_id in names and owner(names, target.id) == self.own_id
 
-    def _forget_gone(self) -> None:
+    def _remove_ended_targets(self) -> None:
         for process in self.targets.keys() - self.registry.by_process.keys():
             del self.targets[process]
--- a/agatetack/balance/rate_share.py
+++ b/agatetack/balance/rate_share.py
@@ -37,11 +37,11 @@
 REFRESH_SECONDS = 0.3
 """How often this host's quota is recomputed from the host list."""
 
-QUIET_SECONDS = 5.0
+DUE_AFTER_SECONDS = 5.0
 """Time without updates of a target's limit after which the target gets the next
 request of a host that may send to it, or a probe if there is no request."""
 
-SILENT_SECONDS = 10.0
+TRIAL_AFTER_SECONDS = 10.0
 """Time without updates of a target's limit after which a host without a quota
 may try the target, as there may be no other host left to report that the limit
 has ended."""
@@ -59,7 +59,7 @@
     Attributes:
         window: Length of a window, in seconds.
         requests: Requests that the target accepts per window, from all hosts.
-        own: How many of them this host may send.
+        own_requests: How many of them this host may send.
         place: This host's position in the order of hosts, from 0; None if it
             is not one of them.
         hosts: Number of hosts.
@@ -67,7 +67,7 @@
 
     window: float
     requests: int
-    own: int
+    own_requests: int
     place: int | None
     hosts: int
 
@@ -78,7 +78,11 @@
         For a host without a quota it is the time between two of its trials,
         since one host may try the target in each window.
         """
-        return self.window / self.own if self.own else self.window * self.hosts
+        return (
+            self.window / self.own_requests
+            if self.own_requests
+            else self.window * self.hosts
+        )
 
 
 def split_rate(rate: float, place: int | None, hosts: int) -> Quota:
@@ -90,30 +94,30 @@
         hosts: Number of hosts.
     """
     requests = math.ceil(rate * WINDOW_SECONDS)
-    own = 0
+    own_requests = 0
     if place is not None:
-        own = requests // hosts + (place < requests % hosts)
-    return Quota(requests / rate, requests, own, place, hosts)
+        own_requests = requests // hosts + (place < requests % hosts)
+    return Quota(requests / rate, requests, own_requests, place, hosts)
 
 
 @dataclasses.dataclass(slots=True)
-class RatedTarget:
+class RateLimitedTarget:
     """This host's state for a target that limits its rate.
 
     Attributes:
         quota: This host's quota.
-        until: When to check whether the quota has changed.
+        refresh_at: When to check whether the quota has changed.
         rate: The rate from which the quota was computed.
-        sharers: The hosts that the rate was divided among.
+        sharing_hosts: The hosts that the rate was divided among.
         since: Since when the target limits its rate.
         sent_at: When this host last sent to the target.
         next_send_at: The earliest time at which the quota allows a request.
     """
 
     quota: Quota
-    until: Deadline
+    refresh_at: Deadline
     rate: float
-    sharers: Sequence[HostId]
+    sharing_hosts: Sequence[HostId]
     since: Deadline
     sent_at: Deadline
     next_send_at: Deadline
@@ -145,11 +149,11 @@
             exchange: The other hosts.
             metrics: Where targets that were passed over are counted.
         """
-        self.own = HostId(settings.host.id)
+        self.own_id = HostId(settings.host.id)
         self.registry = registry
         self.registered = registered
         self.exchange = exchange
-        self.targets: dict[ProcessId, RatedTarget] = {}
+        self.targets: dict[ProcessId, RateLimitedTarget] = {}
         self.started_at = Deadline(trio.current_time())
         self.held = metrics.counter(
             "agatetack_rate_limited_held_total",
@@ -181,7 +185,7 @@
         next_send_at = self.next_send_at(target, now)
         if next_send_at > until:
             return 0
-        interval = self._find(target, now).quota.interval
+        interval = self._state(target, now).quota.interval
         return 1 + (until - next_send_at) // interval
 
     def fleet_next_send_at(
@@ -199,14 +203,15 @@
         """
         limit = target.rate_limit
         return (
-            limit.rate is not None and now >= limit.reported_at + QUIET_SECONDS
+            limit.rate is not None
+            and now >= limit.reported_at + DUE_AFTER_SECONDS
         )
 
     def record_request(self, target: TargetState) -> None:
         """Record that a request was assigned to `target`."""
         if target.rate_limit.rate is not None:
             now = Deadline(trio.current_time())
-            self._find(target, now).sent_at = now
+            self._state(target, now).sent_at = now
 
     def record_probe(self, target: TargetState) -> None:
         """Record that a probe is sent, which the target counts as a request."""
@@ -229,30 +234,32 @@
         return now >= unused_since + interval
 
     def _free_at(self, target: TargetState, now: Deadline) -> Deadline:
-        rated = self._find(target, now)
-        if rated.quota.place is None:
+        state = self._state(target, now)
+        if state.quota.place is None:
             return Deadline(math.inf)
-        free_at = max(rated.sent_at + rated.quota.interval, rated.next_send_at)
-        if not rated.quota.own:
-            return max(free_at, _trial_at(rated.quota, target.rate_limit))
+        free_at = max(state.sent_at + state.quota.interval, state.next_send_at)
+        if not state.quota.own_requests:
+            return max(free_at, _trial_at(state.quota, target.rate_limit))
         return Deadline(free_at)
 
-    def _find(self, target: TargetState, now: Deadline) -> RatedTarget:
+    def _state(self, target: TargetState, now: Deadline) -> RateLimitedTarget:
         limit = target.rate_limit
-        rated = self.targets.get(target.process)
-        if rated is None or rated.since != limit.since:
-            self._forget_gone()
-            rated = self._begin(target, now)
-            self.targets[target.process] = rated
-        elif now >= rated.until or rated.rate != limit.rate:
-            self._renew(rated, target, now)
-        return rated
-
-    def _begin(self, target: TargetState, now: Deadline) -> RatedTarget:
-        sharers = self._sharers(target)
-        quota = self._quota(target, sharers)
+        state = self.targets.get(target.process)
+        if state is None or state.since != limit.since:
+            self._remove_ended_targets()
+            state = self._new_state(target, now)
+            self.targets[target.process] = state
+        elif now >= state.refresh_at or state.rate != limit.rate:
+            self._refresh(state, target, now)
+        return state
+
+    def _new_state(
+        self, target: TargetState, now: Deadline
+    ) -> RateLimitedTarget:
+        sharing_hosts = self._sharing_hosts(target)
+        quota = self._quota(target, sharing_hosts)
         sent_at, next_send_at = Deadline(-math.inf), now
-        if quota.own:
+        if quota.own_requests:
             if target.last_chosen_at is not None:
                 sent_at = target.last_chosen_at
             # All hosts learn of the rate at the same moment, so their first
@@ -260,35 +267,35 @@
             stagger = quota.interval * quota.place / quota.hosts
             not_known_until = self.started_at + quota.interval
             next_send_at = Deadline(max(now + stagger, not_known_until))
-        rated = RatedTarget(
+        state = RateLimitedTarget(
             quota=quota,
-            until=Deadline(now + REFRESH_SECONDS),
+            refresh_at=Deadline(now + REFRESH_SECONDS),
             rate=target.rate_limit.rate,
-            sharers=sharers,
+            sharing_hosts=sharing_hosts,
             since=target.rate_limit.since,
             sent_at=sent_at,
             next_send_at=next_send_at,
         )
-        self._tell(target, quota)
-        return rated
+        self._log_quota(target, quota)
+        return state
 
-    def _renew(
-        self, rated: RatedTarget, target: TargetState, now: Deadline
+    def _refresh(
+        self, state: RateLimitedTarget, target: TargetState, now: Deadline
     ) -> None:
-        rated.until = Deadline(now + REFRESH_SECONDS)
-        sharers = self._sharers(target)
+        state.refresh_at = Deadline(now + REFRESH_SECONDS)
+        sharing_hosts = self._sharing_hosts(target)
         rate = target.rate_limit.rate
-        if (rate, sharers) == (rated.rate, rated.sharers):
+        if (rate, sharing_hosts) == (state.rate, state.sharing_hosts):
             return
-        quota = self._quota(target, sharers)
-        rated.rate, rated.sharers = rate, sharers
-        if quota.own and not rated.quota.own:
+        quota = self._quota(target, sharing_hosts)
+        state.rate, state.sharing_hosts = rate, sharing_hosts
+        if quota.own_requests and not state.quota.own_requests:
             # The host that had this quota before may have just used it.
-            rated.next_send_at = Deadline(now + quota.interval)
-        rated.quota = quota
-        self._tell(target, quota)
+            state.next_send_at = Deadline(now + quota.interval)
+        state.quota = quota
+        self._log_quota(target, quota)
 
-    def _sharers(self, target: TargetState) -> Sequence[HostId]:
+    def _sharing_hosts(self, target: TargetState) -> Sequence[HostId]:
         """Return the hosts that the target's rate is divided among.
 
         In a fleet of groups they are the hosts of the group that keeps
@@ -299,38 +306,40 @@
             return list(group)
         return [host.id for host in self.registered()]
 
-    def _quota(self, target: TargetState, sharers: Sequence[HostId]) -> Quota:
-        place = self._place(sharers, target)
-        quota = split_rate(target.rate_limit.rate, place, len(sharers))
+    def _quota(
+        self, target: TargetState, sharing_hosts: Sequence[HostId]
+    ) -> Quota:
+        place = self._place(sharing_hosts, target)
+        quota = split_rate(target.rate_limit.rate, place, len(sharing_hosts))
         if self.exchange.group_hosts() and not self._is_of_group(target):
-            return dataclasses.replace(quota, own=0)
+            return dataclasses.replace(quota, own_requests=0)
         return quota
 
     def _place(
         self, hosts: Sequence[HostId], target: TargetState
     ) -> int | None:
         """Return this host's position among `hosts`, or None."""
-        if self.own not in hosts:
+        if self.own_id not in hosts:
             return None
-        own = rank(self.own, target.id)
-        return sum(rank(host, target.id) > own for host in hosts)
+        own_rank = rank(self.own_id, target.id)
+        return sum(rank(host, target.id) > own_rank for host in hosts)
 
     def _is_of_group(self, target: TargetState) -> bool:
         return self.exchange.shares_target(target.id, target.failure_domain)
 
-    def _tell(self, target: TargetState, quota: Quota) -> None:
+    def _log_quota(self, target: TargetState, quota: Quota) -> None:
         decisions.note(
             "rate-quota",
             target=target.id,
             service=target.service,
             rate=target.rate_limit.rate,
-            requests=quota.own,
+            requests=quota.own_requests,
             window_ms=round(quota.window * 1000),
             hosts=quota.hosts,
             place=quota.place,
         )
 
-    def _forget_gone(self) -> None:
+    def _remove_ended_targets(self) -> None:
         for process in self.targets.keys() - self.registry.by_process.keys():
             del self.targets[process]
 
@@ -341,5 +350,5 @@
     In each window one of these hosts may, so together they add one request per
     window to those of the hosts with a quota.
     """
-    wait = SILENT_SECONDS + (quota.place + 1) * quota.window
+    wait = TRIAL_AFTER_SECONDS + (quota.place + 1) * quota.window
     return Deadline(limit.reported_at + wait)
--- a/agatetack/balance/start_share.py
+++ b/agatetack/balance/start_share.py
@@ -18,15 +18,15 @@
 from agatetack.targets.registry import TargetRegistry
 from agatetack.targets.state import TargetState
 
-START_SECONDS = 0.3
+MAX_START_SECONDS = 0.3
 """Maximum time for which a starting host limits itself to its share. The
 connections to the peers are open about 100 ms after a start."""
 
-HEARD_RATIO = 0.8
+CONNECTED_RATIO = 0.8
 """Ratio of the listed hosts that a host must be connected to before it stops
 limiting itself to its share."""
 
-POLL_SECONDS = 0.005
+CONNECTION_POLL_SECONDS = 0.005
 """How often a starting host checks its connections to the others."""
 
 
@@ -38,7 +38,7 @@
     requests of that second ran into their route's timeout.
 
     Attributes:
-        over: Whether this host may use every slot.
+        ended: Whether this host may use every slot.
     """
 
     def __init__(
@@ -58,36 +58,36 @@
         self.registry = registry
         self.exchange = exchange
         self.listed = listed
-        self.over = True
-        self.until = Deadline(0.0)
+        self.ended = True
+        self.ends_at = Deadline(0.0)
 
     def begin(self) -> None:
         """Start to limit this host to its share, for a limited time."""
-        self.over = False
-        self.until = Deadline(trio.current_time() + START_SECONDS)
+        self.ended = False
+        self.ends_at = Deadline(trio.current_time() + MAX_START_SECONDS)
 
     async def run(self) -> None:
         """Lift the limit once the others are connected, or at its timeout."""
-        while not self.over:
-            if trio.current_time() >= self.until or self._hears_others():
+        while not self.ended:
+            if trio.current_time() >= self.ends_at or self._is_connected():
                 self._end()
             else:
-                await trio.sleep(POLL_SECONDS)
+                await trio.sleep(CONNECTION_POLL_SECONDS)
 
     def allows(self, target: TargetState) -> bool:
         """Return whether this host may take one more slot of `target`."""
-        if self.over or not self._shares(target):
+        if self.ended or not self._shares(target):
             return True
         return target.in_flight < self._slots(target)
 
     def _end(self) -> None:
-        self.over = True
+        self.ended = True
         for service in self.registry.services:
             self.registry.notify(service)
 
-    def _hears_others(self) -> bool:
+    def _is_connected(self) -> bool:
         hosts = len(self._hosts())
-        return 1 + len(self.exchange.near_peers()) >= HEARD_RATIO * hosts
+        return 1 + len(self.exchange.near_peers()) >= CONNECTED_RATIO * hosts
 
     def _hosts(self) -> Sequence[HostId]:
         """Return the hosts that share the same targets, sorted."""
--- a/agatetack/balance/test_rate_share.py
+++ b/agatetack/balance/test_rate_share.py
@@ -14,8 +14,8 @@
 
 from agatetack.balance.cold_share import ColdShare
 from agatetack.balance.rate_share import (
-    QUIET_SECONDS,
-    SILENT_SECONDS,
+    DUE_AFTER_SECONDS,
+    TRIAL_AFTER_SECONDS,
     RateShare,
     split_rate,
 )
@@ -261,12 +261,16 @@
     fleet = await make_fleet(count)
     for sender in fleet:
         sender.tell(rate)
-    seconds = SILENT_SECONDS + 40.0
+    seconds = TRIAL_AFTER_SECONDS + 40.0
     sent = await press(fleet, seconds)
     assert max_in_a_window(sent) <= bound(rate)
     quota = split_rate(rate, count - 1, count)
     windows = int(40.0 / quota.window)
-    idle = [s for s in fleet if not s.share.targets[s.target.process].quota.own]
+    idle = [
+        s
+        for s in fleet
+        if not s.share.targets[s.target.process].quota.own_requests
+    ]
     tried = [s for s in idle if s.share.targets[s.target.process].sent_at > 0.1]
     assert len(tried) >= min(len(idle), windows - quota.requests) - 1
 
@@ -303,7 +307,7 @@
     sender.tell(0.2)
     assert not sender.share.may_probe(sender.target)
     sender.share.record_request(sender.target)
-    await trio.sleep(QUIET_SECONDS + 0.1)
+    await trio.sleep(DUE_AFTER_SECONDS + 0.1)
     # A request is allowed and due; it goes before a probe.
     now = Deadline(trio.current_time())
     assert sender.share.allows(sender.target)
@@ -364,7 +368,7 @@
     assert len(sent) >= MIN_USE_RATIO * 1.3 * 20.0
     for sender in fleet:
         sender.tell(1.3)
-    assert await press(fleet[12:], SILENT_SECONDS) == []
+    assert await press(fleet[12:], TRIAL_AFTER_SECONDS) == []
 
 
 @pytest.mark.parametrize(
@@ -378,8 +382,8 @@
 )
 def test_a_window_is_split_in_order(rate, hosts, own):
     quotas = [split_rate(rate, place, hosts) for place in range(hosts)]
-    assert [quota.own for quota in quotas] == own
-    assert split_rate(rate, None, hosts).own == 0
+    assert [quota.own_requests for quota in quotas] == own
+    assert split_rate(rate, None, hosts).own_requests == 0
 
 
 @pytest.mark.parametrize(
--- a/agatetack/balance/test_start_share.py
+++ b/agatetack/balance/test_start_share.py
@@ -10,7 +10,7 @@
 import trio
 
 from agatetack.balance.start_share import (
-    START_SECONDS,
+    MAX_START_SECONDS,
     StartShare,
     own_slots,
 )
@@ -46,10 +46,10 @@
         assert sum(share[target.id] for share in shares) == SLOTS
 
 
-def make_share(own, names, targets, heard):
+def make_share(own, names, targets, connected):
     registry = make_registry(own, targets)
     exchange = NoExchange()
-    exchange.live_peers = lambda: range(heard())
+    exchange.live_peers = lambda: range(connected())
     return registry, StartShare(registry, exchange, lambda: names)
 
 
@@ -70,16 +70,16 @@
 
 @pytest.mark.parametrize(
     ("heard_after", "over_after"),
-    [(0.1, 0.1), (0.0, 0.0), (9.0, START_SECONDS)],
+    [(0.1, 0.1), (0.0, 0.0), (9.0, MAX_START_SECONDS)],
 )
 async def test_the_time_of_shares_ends(autojump_clock, heard_after, over_after):
     start = trio.current_time()
     names = [f"h{n}" for n in range(10)]
 
-    def heard():
+    def connected():
         return 8 if trio.current_time() >= start + heard_after else 0
 
-    registry, share = make_share("h0", names, 10, heard)
+    registry, share = make_share("h0", names, 10, connected)
     told = []
     registry.watchers.append(told.append)
     share.begin()
--- a/agatetack/balance/test_targets_that_limit_their_rate.py
+++ b/agatetack/balance/test_targets_that_limit_their_rate.py
@@ -68,7 +68,7 @@
         assert all(state.rate_limit.rate == 0.2 for state in known)
         # One host in fourteen has a quota at this rate.
         quotas = [
-            host.rate_share.targets[target.instance].quota.own
+            host.rate_share.targets[target.instance].quota.own_requests
             for host in fleet.hosts
         ]
         assert sum(quotas) == 1
@@ -103,7 +103,9 @@
         idle = next(
             host
             for host in fleet.hosts
-            if not any(r.quota.own for r in host.rate_share.targets.values())
+            if not any(
+                r.quota.own_requests for r in host.rate_share.targets.values()
+            )
         )
         request = make_request(seconds=2.5, name="late")
         begin = trio.current_time()
