--- a/agatetack/admission/service.py
+++ b/agatetack/admission/service.py
@@ -42,9 +42,9 @@
     """Permission to send one attempt, which its target counts as in flight.
 
     Attributes:
-        load_before: Estimated requests at the target when this was granted.
+        waiting: Estimated requests at the target when this was granted.
         started: When this was granted.
-        cleared_failures: Failures of the target that were reset when the
+        undone: Failures of the target that were reset when the
             response's headers arrived.
     """
 
@@ -52,10 +52,10 @@
         "target",
         "admission",
         "number",
-        "load_before",
+        "waiting",
         "started",
-        "cleared_failures",
-        "released",
+        "undone",
+        "done",
     )
 
     def __init__(
@@ -63,17 +63,17 @@
         admission: "ServiceAdmission",
         target: TargetState,
         number: int,
-        load_before: float,
+        waiting: float,
         started: Deadline,
     ):
         """Store what the release needs."""
         self.target = target
         self.admission = admission
         self.number = number
-        self.load_before = load_before
+        self.waiting = waiting
         self.started = started
-        self.cleared_failures = 0
-        self.released = False
+        self.undone = 0
+        self.done = False
 
     def answered_headers(self, latency: float) -> None:
         """Record that the headers arrived `latency` seconds after the start."""
@@ -81,9 +81,9 @@
 
     def release(self, result: AttemptResult) -> None:
         """Release the target's slot; a second release does nothing."""
-        if self.released:
+        if self.done:
             return
-        self.released = True
+        self.done = True
         self.admission.note_release(self, result)
 
 
@@ -222,7 +222,7 @@
         now = Deadline(trio.current_time())
         target = permit.target
         target.last_answer_at = now
-        permit.cleared_failures = target.failures
+        permit.undone = target.failures
         target.failures = 0
         target.recent.append(latency)
         if target.latency is None:
@@ -232,7 +232,7 @@
         # The wait for a slot ends with the headers. A long body must not make
         # the target look stuck.
         target.learned.sent.pop(permit.number, None)
-        self.policy.answered(target, latency, permit.load_before, now)
+        self.policy.answered(target, latency, permit.waiting, now)
         self.limits.answered(target)
         self._service_queue(target.service).note_latency(latency)
 
@@ -254,7 +254,7 @@
         elif result is AttemptResult.FAILED:
             # A truncated response is a failure, so the failures that its
             # headers reset count again.
-            target.failures += 1 + permit.cleared_failures
+            target.failures += 1 + permit.undone
             self.policy.failed(target, now)
         # This host's own waiting requests go first, as other hosts learn of the
         # free slot only after a message has reached them.
@@ -277,9 +277,9 @@
     def _permit(
         self, target: TargetState, now: Deadline, already_counted: bool = False
     ) -> ServicePermit:
-        load_before = self.policy.expected_load(target, now)
+        waiting = self.policy.expected_load(target, now)
         if already_counted:
-            load_before -= 1
+            waiting -= 1
         else:
             target.in_flight += 1
         number = next(self.permit_numbers)
@@ -290,7 +290,7 @@
         self.registry.note_in_flight(target)
         for watcher in self.registry.choice_watchers:
             watcher(target.service)
-        return ServicePermit(self, target, number, load_before, now)
+        return ServicePermit(self, target, number, waiting, now)
 
     def _release_slot(self, target: TargetState) -> None:
         target.in_flight -= 1
