--- a/agatetack/admission/limits.py
+++ b/agatetack/admission/limits.py
@@ -7,14 +7,14 @@
 """Factor by which the limit is cut when a target sheds a request."""
 
 CROWDED_FACTOR = 0.9
-"""Factor by which the limit is cut at a response of a crowded target."""
+"""Factor by which the limit is cut at an answer of a crowded target."""
 
 CROWDED_SLOTS = 4
 """A target with more requests than this for each slot counts as crowded."""
 
 
 class TargetLimits:
-    """Raises limits at responses; cuts them if targets shed or are crowded."""
+    """Raises limits at answers; cuts them if targets shed or are crowded."""
 
     def __init__(self, settings: Settings):
         """Take the bounds of the limits from `settings`."""
@@ -24,7 +24,7 @@
         )
 
     def answered(self, target: TargetState) -> None:
-        """Record a response: raise the limit, or cut it if it is crowded."""
+        """Record an answer: raise the limit, or cut it if it is crowded."""
         learned = target.learned
         report = target.report
         crowded = (
--- a/agatetack/admission/service.py
+++ b/agatetack/admission/service.py
@@ -28,7 +28,7 @@
 from agatetack.targets.state import TargetState
 
 LATENCY_WEIGHT = 0.1
-"""Weight of one response in the moving average of a target's latency."""
+"""Weight of one answer in the moving average of a target's latency."""
 
 LOW_PRIORITY_POLL_SECONDS = 0.05
 """How often a waiting low-priority request polls for a free slot."""
@@ -45,7 +45,7 @@
         waiting: Estimated requests at the target when this was granted.
         started: When this was granted.
         undone: Failures of the target that were reset when the
-            response's headers arrived.
+            answer's headers arrived.
     """
 
     __slots__ = (
@@ -218,7 +218,7 @@
                 self._serve(queue, Deadline(trio.current_time()))
 
     def note_answer(self, permit: ServicePermit, latency: float) -> None:
-        """Update the estimates of the target from a response's headers."""
+        """Update the estimates of the target from an answer's headers."""
         now = Deadline(trio.current_time())
         target = permit.target
         target.last_answer_at = now
@@ -252,7 +252,7 @@
             self.limits.shed(target)
             self.policy.shed(target, now)
         elif result is AttemptResult.FAILED:
-            # A truncated response is a failure, so the failures that its
+            # A truncated answer is a failure, so the failures that its
             # headers reset count again.
             target.failures += 1 + permit.undone
             self.policy.failed(target, now)
--- a/agatetack/admission/service_queue.py
+++ b/agatetack/admission/service_queue.py
@@ -14,10 +14,10 @@
 from agatetack.targets.state import TargetState, TargetStatus
 
 LATENCY_WEIGHT = 0.05
-"""Weight of one response in the service's moving average of the latency."""
+"""Weight of one answer in the service's moving average of the latency."""
 
 MIN_LATENCY_RATIO = 0.5
-"""Ratio of the usual latency below which no response is expected. A request
+"""Ratio of the usual latency below which no answer is expected. A request
 with less time left before its deadline is refused."""
 
 INTERVAL_WEIGHT = 0.1
@@ -26,7 +26,7 @@
 
 IN_TIME_LATENCY_RATIO = 0.75
 """Ratio of the usual latency that has to be left of a route's target latency
-for a response to be in time.
+for an answer to be in time.
 
 Requests with less left go behind those that can still be answered in time.
 """
@@ -46,8 +46,8 @@
 
     Attributes:
         queues: Waiting requests, by priority.
-        mean_latency: Moving average of the time to a response, in seconds, or
-            None before the first response.
+        mean_latency: Moving average of the time to an answer, in seconds, or
+            None before the first answer.
         mean_interval: Moving average of the time between two waiters that get
             a target, in seconds, or None before the first.
         last_served_at: When the last waiter got a target, or when the queue
@@ -244,7 +244,7 @@
         """Return when a waiting request has to start polling for a target.
 
         No event announces that this host's share of a target allows another
-        request, or that load estimates decay once the response is late.
+        request, or that load estimates decay once the answer is late.
         """
         late_at = self.late_at(wanted)
         targets = self._usable_targets(wanted.route)
@@ -266,7 +266,7 @@
         return refuse(RefusalReason.QUEUE_FULL, detail, self.retry_at(now))
 
     def note_latency(self, latency: float) -> None:
-        """Update the moving average of the time to a response."""
+        """Update the moving average of the time to an answer."""
         if self.mean_latency is None:
             self.mean_latency = latency
         else:
@@ -274,7 +274,7 @@
 
     @property
     def min_expected_latency(self) -> float:
-        """Return the shortest time in which a response is expected."""
+        """Return the shortest time in which an answer is expected."""
         return MIN_LATENCY_RATIO * (self.mean_latency or 0.0)
 
     def _refuse_late(self, now: Deadline, detail: str) -> Refusal:
--- a/agatetack/admission/test_service.py
+++ b/agatetack/admission/test_service.py
@@ -157,7 +157,7 @@
 @pytest.mark.parametrize(
     ("results", "failures"),
     [
-        # A truncated response restores the failures that its headers had reset.
+        # A truncated answer restores the failures that its headers had reset.
         ([AttemptResult.FAILED, AttemptResult.FAILED], 2),
         ([AttemptResult.FAILED, ANSWERED, AttemptResult.FAILED], 1),
         ([AttemptResult.FAILED, AttemptResult.FAILED, ANSWERED], 0),
--- a/agatetack/balance/expected_wait.py
+++ b/agatetack/balance/expected_wait.py
@@ -21,7 +21,7 @@
 NORMAL_RATIO = 2.0
 """Up to this multiple of the typical service time a target counts as normal.
 
-Smaller differences that a host measures are mostly noise in a few responses;
+Smaller differences that a host measures are mostly noise in a few answers;
 reacting to them makes the load of the targets uneven.
 """
 
@@ -45,7 +45,7 @@
 
 
 class ExpectedWait(LearningPolicy):
-    """Chooses the target with the lowest expected time to a response."""
+    """Chooses the target with the lowest expected time to an answer."""
 
     def __init__(self, settings: Settings, rng: random.Random):
         """Choose among nearly equal candidates with `rng`."""
@@ -83,14 +83,14 @@
         return self.choose_near_lowest(candidates, costs, TIE_RATIO * typical)
 
     def cost(self, target: TargetState, now: Deadline, typical: float) -> float:
-        """Return the expected seconds from sending to the response."""
+        """Return the expected seconds from sending to the answer."""
         learned = target.learned
         service = learned.service_seconds or typical
         if service < NORMAL_RATIO * typical:
             service = typical
         if learned.sent:
             # A request that has been in flight for long shows that the target
-            # is slow before a response does.
+            # is slow before an answer does.
             service = max(
                 service,
                 IN_FLIGHT_SERVICE_RATIO * learned.oldest_in_flight_seconds(now),
--- a/agatetack/balance/fleet_view.py
+++ b/agatetack/balance/fleet_view.py
@@ -69,7 +69,7 @@
 A request that waits at a host goes to the first target with a free slot, and
 overtakes requests that can no longer be answered in time. A request that waits
 at a target can do neither. At one and a half times the rate that the targets
-can handle, 8 % of the responses came in time with two requests waiting at a
+can handle, 8 % of the answers came in time with two requests waiting at a
 target, and 31 % with none (14 hosts, two seconds of 160 requests each).
 """
 
@@ -97,8 +97,8 @@
 FAILURE_HALF_LIFE_SECONDS = 3.0
 """Half-life of a target's failure rate, so that the target is tried again."""
 
-LARGE_RESPONSE_BYTES = 15_000
-"""Response size from which the preference for targets of the own failure
+LARGE_ANSWER_BYTES = 15_000
+"""Answer size from which the preference for targets of the own failure
 domain has its full strength.
 
 Below, it grows with the size. For 5 KB it is 0.4 of a service time, which is
@@ -106,13 +106,13 @@
 """
 
 OTHER_DOMAIN_COST_RATIO = 1.2
-"""Additional cost of a target of another failure domain for large responses, in
+"""Additional cost of a target of another failure domain for large answers, in
 typical service times.
 
 Traffic between failure domains costs money: 90 KB cost half as much as one
 request earns. The value is less than the wait at a full target, so that no
 request waits for a target of its own failure domain while others are free: at
-2.5, the responses in time fell from 88 % to 69 % under high load.
+2.5, the answers in time fell from 88 % to 69 % under high load.
 """
 
 
@@ -205,7 +205,7 @@
         return -math.inf
 
     def cost(self, target: TargetState, now: Deadline, typical: float) -> float:
-        """Return the expected seconds from sending to the response."""
+        """Return the expected seconds from sending to the answer."""
         load = self.expected_load(target, now)
         service = typical * self.slowness(target, now)
         if is_above_knee(load + 1, target.slots):
@@ -217,7 +217,7 @@
         if not target.all_peers_report:
             cost += OTHER_GROUP_COST_RATIO * typical
         if target.failure_domain != self.domain:
-            size_ratio = min(1.0, target.answer_bytes / LARGE_RESPONSE_BYTES)
+            size_ratio = min(1.0, target.answer_bytes / LARGE_ANSWER_BYTES)
             cost += OTHER_DOMAIN_COST_RATIO * size_ratio * typical
         cost += self.extra_cost_ratio(target, now) * typical
         return (
@@ -233,7 +233,7 @@
     def answered(
         self, target: TargetState, latency: float, ahead: float, now: Deadline
     ) -> None:
-        """Update the estimates from a response."""
+        """Update the estimates from an answer."""
         super().answered(target, latency, ahead, now)
         self.slot_policy.answered(target, latency, ahead, now)
         self._update_failure_rate(target, 0.0, now)
--- a/agatetack/balance/learned.py
+++ b/agatetack/balance/learned.py
@@ -1,4 +1,4 @@
-"""Hold a host's estimates of one target, from its responses and reports."""
+"""Hold a host's estimates of one target, from its answers and reports."""
 
 import dataclasses
 
@@ -24,8 +24,8 @@
         others: Usual number of other hosts' requests there.
         trust: How well reports agreed with the latency, from 0 to 1.
         limit: The adaptive limit before rounding.
-        shed_until: When requests may be sent again after a shed response.
-        shed_count: Consecutive shed responses.
+        shed_until: When requests may be sent again after a shed answer.
+        shed_count: Consecutive shed answers.
         trial_at: When a target that is avoided may be tried again.
         trial_count: Consecutive trials that found it still slow.
         failure_rate: Ratio of failed attempts, as of `failure_rate_at`.
--- a/agatetack/balance/learning.py
+++ b/agatetack/balance/learning.py
@@ -10,7 +10,7 @@
 from agatetack.targets.state import TargetState, TargetStatus
 
 SERVICE_WEIGHT = 0.2
-"""Weight of one response in the moving average of the service time."""
+"""Weight of one answer in the moving average of the service time."""
 
 OTHERS_WEIGHT = 0.1
 """Weight of one report in the moving average of other hosts' load."""
@@ -26,16 +26,16 @@
 target's reports."""
 
 DISTRUST_FACTOR = 0.8
-"""Factor by which such a response reduces the trust in a target's reports."""
+"""Factor by which such an answer reduces the trust in a target's reports."""
 
 TRUST_WEIGHT = 0.02
-"""Weight in that trust of a response that agrees with the reports."""
+"""Weight in that trust of an answer that agrees with the reports."""
 
 REPORT_SLOW_RATIO = 2.2
 """A target is reported to the peers as slow from this multiple of the limit for
 slow targets on.
 
-A few slow responses at one host may be chance or a short disturbance, and if
+A few slow answers at one host may be chance or a short disturbance, and if
 all hosts avoid a target, its whole capacity is lost.
 """
 
@@ -44,10 +44,10 @@
 one."""
 
 SHED_PAUSE_SECONDS = 0.01
-"""Time without new requests after a target's first shed response."""
+"""Time without new requests after a target's first shed answer."""
 
 SHED_PAUSE_FACTOR = 4
-"""Factor by which that time grows at each further shed response, until a
+"""Factor by which that time grows at each further shed answer, until a
 request is answered."""
 
 MAX_SHED_PAUSE_STEPS = 4
@@ -218,7 +218,7 @@
     def apply_peer_measurement(
         self, target: TargetState, limit: float, now: Deadline
     ) -> None:
-        """Apply the peers' service time of `target` unless a response is newer.
+        """Apply the peers' service time of `target` unless an answer is newer.
 
         A target that they found slow is avoided; if it has recovered, it is
         tried again.
@@ -265,7 +265,7 @@
         return self.typical(service) * self.settings.balance.slow_ratio
 
     def _update_trust(self, target: TargetState, service: float) -> None:
-        # A response that took much longer than expected from the reports
+        # An answer that took much longer than expected from the reports
         # contradicts them: the target has a queue that it does not report.
         learned = target.learned
         if service > DISAGREE_RATIO * self.typical(target.service):
--- a/agatetack/balance/policy.py
+++ b/agatetack/balance/policy.py
@@ -43,13 +43,13 @@
     def answered(  # noqa: B027
         self, target: TargetState, latency: float, ahead: float, now: Deadline
     ) -> None:
-        """Update the estimates from one response.
+        """Update the estimates from one answer.
 
         Args:
             target: The target that answered.
-            latency: Seconds from the attempt's start to the response's headers.
+            latency: Seconds from the attempt's start to the answer's headers.
             ahead: Requests that were expected ahead of it when it started.
-            now: The time of the response.
+            now: The time of the answer.
         """
 
     def shed(self, target: TargetState, now: Deadline) -> None:  # noqa: B027
--- a/agatetack/balance/room.py
+++ b/agatetack/balance/room.py
@@ -33,7 +33,7 @@
 """Standard deviation of the logarithm of a request's time."""
 
 MIN_FULL_SPEED_ANSWERS = 5
-"""Minimum number of responses at full speed before others are compared with
+"""Minimum number of answers at full speed before others are compared with
 them."""
 
 OUTLIER_DEVIATIONS = 2.0
@@ -42,7 +42,7 @@
 slots."""
 
 MAX_FULL_SPEED_ANSWERS = 32
-"""Number of latest responses at full speed that others are compared with."""
+"""Number of latest answers at full speed that others are compared with."""
 
 HALF_LIFE_SECONDS = 60.0
 """Half-life of the estimate while no request runs above the knee, so that the
@@ -54,7 +54,7 @@
 is above this."""
 
 DECISION_SECONDS = 1.0
-"""How long a decision is cached if no response arrives, as it is needed for
+"""How long a decision is cached if no answer arrives, as it is needed for
 each target at each choice."""
 
 
@@ -68,13 +68,13 @@
     def answered(  # noqa: B027
         self, target: TargetState, seconds: float, ahead: float, now: Deadline
     ) -> None:
-        """Update the estimate from a response.
+        """Update the estimate from an answer.
 
         Args:
             target: The target that answered.
-            seconds: Time from sending the request to the response's headers.
+            seconds: Time from sending the request to the answer's headers.
             ahead: Estimated requests at the target when it was sent.
-            now: When the response arrived.
+            now: When the answer arrived.
         """
 
 
@@ -91,13 +91,13 @@
     """Estimates how much the targets of one service slow down above the knee.
 
     It is a Bayesian estimate: the probability of each of `SLOWDOWN_PRIORS`
-    follows from how well the factor explains the responses.
+    follows from how well the factor explains the answers.
 
     Attributes:
         full_speed_logs: Logarithms of the latest times at full speed.
-        log_likelihoods: Log-likelihood of the responses above the knee under
+        log_likelihoods: Log-likelihood of the answers above the knee under
             each of `SLOWDOWN_PRIORS`.
-        last_above_at: When the last of these responses arrived.
+        last_above_at: When the last of these answers arrived.
         decisions: Cached results of `slows_down_above`, by limit.
         decided_until: When the cached results expire.
     """
--- a/agatetack/balance/test_policies.py
+++ b/agatetack/balance/test_policies.py
@@ -157,7 +157,7 @@
 @pytest.mark.parametrize(
     ("ratios", "share"),
     [
-        # A few slow responses at one host don't make others avoid a target.
+        # A few slow answers at one host don't make others avoid a target.
         ([10], 0.25),
         ([10, 1, 10, 1], 0.25),
         ([10, 10, 10], 0.0),
@@ -254,7 +254,7 @@
     assert shares(policy, [target, make_target(2)], now)[0] > 0
     target.learned.sent[1] = now
     assert shares(policy, [target, make_target(2)], now)[0] == 0
-    # A response ends the pause, at its headers even if the body is long.
+    # An answer ends the pause, at its headers even if the body is long.
     policy.answered(target, SERVICE_SECONDS, 0, now)
     assert shares(policy, [target, make_target(2)], now)[0] > 0
 
--- a/agatetack/balance/test_room.py
+++ b/agatetack/balance/test_room.py
@@ -1,7 +1,7 @@
 """Test how many slots of targets are used, and that this is learned.
 
 The targets of some services slow down when they are nearly full, so that in an
-overload the last slots add work and no responses. Others do not, and lose a
+overload the last slots add work and no answers. Others do not, and lose a
 third of their throughput if the last slots stay empty. Which services slow down
 is not configured.
 """
--- a/agatetack/balance/test_targets_that_limit_their_rate.py
+++ b/agatetack/balance/test_targets_that_limit_their_rate.py
@@ -1,4 +1,4 @@
-"""Test what reaches targets that announce a rate limit in their responses.
+"""Test what reaches targets that announce a rate limit in their answers.
 
 Guards against hosts that ignore the limit. Targets of a busy service announced
 1.3 to 2 requests per second from all hosts together, and got as many as before
@@ -21,7 +21,7 @@
 
 WINDOW_SECONDS = 4.0
 TOLD_SECONDS = 0.5
-"""Time after which a host that forwarded a response with a rate limit has to
+"""Time after which a host that forwarded an answer with a rate limit has to
 respect the limit."""
 
 STABLE_SECONDS = 3.0
