--- a/agatetack/balance/test_cold_share.py
+++ b/agatetack/balance/test_cold_share.py
@@ -61,7 +61,7 @@
     return ColdShare(settings, registry, lambda: listed)
 
 
-async def press(shares, registry, seconds, attempts, sent):
+async def send_load(shares, registry, seconds, attempts, sent):
     """Let every host try to send to every target, many times per second.
 
     Args:
@@ -88,7 +88,7 @@
     return max((sum(t <= u < t + 1.0 for u in times) for t in times), default=0)
 
 
-def chill(registry):
+def make_cold(registry):
     now = Deadline(trio.current_time())
     for target in registry.targets(SERVICE):
         target.warmth.note(Deadline(now + WARM_UP_SECONDS), now)
@@ -133,8 +133,8 @@
         make_share(registry, each.id, listed) for each, listed in views(hosts)
     ]
     sent = {}
-    chill(registry)
-    await press(shares, registry, WARM_UP_SECONDS, 20, sent)
+    make_cold(registry)
+    await send_load(shares, registry, WARM_UP_SECONDS, 20, sent)
     assert all(max_in_a_second(times) <= BOUND for times in sent.values())
     # The owners do send within their limit.
     if views is same_lists:
@@ -148,10 +148,10 @@
     registry = make_registry()
     hosts = [host(n) for n in range(count)]
     sent = {}
-    chill(registry)
+    make_cold(registry)
     for _ in range(3):
         shares = [make_share(registry, h.id, hosts) for h in hosts]
-        await press(shares, registry, 0.6, 20, sent)
+        await send_load(shares, registry, 0.6, 20, sent)
     assert all(max_in_a_second(times) <= BOUND for times in sent.values())
 
 
@@ -169,7 +169,7 @@
     known_at = begin + 0.19
     while trio.current_time() < begin + WARM_UP_SECONDS:
         if trio.current_time() >= known_at and not target.warmth.is_reported:
-            chill(registry)
+            make_cold(registry)
         share = rng.choice(shares)
         if share.allows(target):
             share.record_request(target)
@@ -188,12 +188,12 @@
     registry.set_evacuated(domains)
     registry.set_evacuated(frozenset())
     sent = {}
-    await press(shares, registry, 1.0, 20, sent)
+    await send_load(shares, registry, 1.0, 20, sent)
     assert sent == {}
     now = Deadline(trio.current_time())
     for target in registry.targets(SERVICE):
         registry.note_warmth(target, now, now)
-    await press(shares, registry, 0.1, 20, sent)
+    await send_load(shares, registry, 0.1, 20, sent)
     assert len(sent) == len(registry.targets(SERVICE))
 
 
@@ -226,7 +226,7 @@
     registry = make_registry(1)
     registry.set_warm_up_rates({})
     share = make_share(registry, "h000", [])
-    chill(registry)
+    make_cold(registry)
     sent = {}
-    await press([share], registry, 1.0, 50, sent)
+    await send_load([share], registry, 1.0, 50, sent)
     assert sum(map(len, sent.values())) > 20
--- a/agatetack/balance/test_looked_at_cold_targets.py
+++ b/agatetack/balance/test_looked_at_cold_targets.py
@@ -36,17 +36,17 @@
 from agatetack.testing.targets import SERVICE, make_request, make_route
 
 PROBE_SECONDS = 0.17
-TELL_SECONDS = 0.02
-LOOK_SECONDS = 0.005
-LOOKS_PER_SECOND = 30
+NOTIFY_SECONDS = 0.02
+PRE_SEND_PROBE_SECONDS = 0.005
+PRE_SEND_PROBES_PER_SECOND = 30
 REQUESTS_PER_SECOND = 60
 TARGETS = 3
-WARM_SECONDS = 2.0
+WARM_BEFORE_SECONDS = 2.0
 """How long requests arrive before the targets turn cold, so that no budget for
 pre-send probes is saved up."""
 
 
-class Leave(Permit):
+class CancelledPermit(Permit):
     """Permit for one target."""
 
     def __init__(self, target):
@@ -59,7 +59,7 @@
         assert result is AttemptResult.CANCELLED
 
 
-class OneTarget(AdmissionController):
+class OneTargetAdmission(AdmissionController):
     """Grants permits for one target if the share of cold targets allows it."""
 
     def __init__(self, share, target):
@@ -73,14 +73,14 @@
         allowed = self.share.allows(self.target)
         if self.target.id in wanted.avoid or not allowed:
             return Failure(refuse(RefusalReason.NO_TARGET, "cold"))
-        return Success(Leave(self.target))
+        return Success(CancelledPermit(self.target))
 
 
 class Host:
     """One host, which knows only what it has observed or received.
 
     Attributes:
-        sends: An admission controller for each target, in list order.
+        admissions: An admission controller for each target, in list order.
     """
 
     def __init__(self, fleet, number, listed):
@@ -89,14 +89,16 @@
         self.registry = make_registry(TARGETS)
         self.share = make_share(self.registry, listed.id, fleet.listed)
         self.targets = self.registry.targets(SERVICE)
-        self.sends = [
-            ProbingAdmission(OneTarget(self.share, target), self, Metrics())
+        self.admissions = [
+            ProbingAdmission(
+                OneTargetAdmission(self.share, target), self, Metrics()
+            )
             for target in self.targets
         ]
         self.buckets = {}
         for target in self.targets:
             bucket = TokenBucket(
-                LOOKS_PER_SECOND,
+                PRE_SEND_PROBES_PER_SECOND,
                 lambda: len(fleet.listed),
                 PRE_SEND_PROBE_BURST,
                 start_seconds=0.0,
@@ -108,12 +110,12 @@
         return self.buckets[target.id].take()
 
     async def probe(self, target, deadline):
-        await trio.sleep(LOOK_SECONDS)
-        self.fleet.show(target.id, self)
+        await trio.sleep(PRE_SEND_PROBE_SECONDS)
+        self.fleet.observe(target.id, self)
         now = Deadline(trio.current_time())
         return LoadReport(0, 9, 0, now, ReportSource.ANSWER)
 
-    def hear(self, target_id, now):
+    def note_cold(self, target_id, now):
         target = next(t for t in self.targets if t.id == target_id)
         warm_at = self.fleet.cold_at + WARM_UP_SECONDS
         target.warmth.note(Deadline(warm_at), now)
@@ -122,7 +124,7 @@
         target = self.targets[place]
         request = make_request()
         wanted = PermitRequest(make_route(), request, request.deadline)
-        result = await self.sends[place].acquire(wanted)
+        result = await self.admissions[place].acquire(wanted)
         if isinstance(result, Success):
             self.share.record_request(target)
             self.fleet.sent.setdefault(target.id, []).append(
@@ -139,32 +141,32 @@
 
     def __init__(self, count, nursery):
         self.nursery = nursery
-        self.cold_at = trio.current_time() + WARM_SECONDS
+        self.cold_at = trio.current_time() + WARM_BEFORE_SECONDS
         self.listed = [host(number) for number in range(count)]
         self.hosts = [Host(self, *each) for each in enumerate(self.listed)]
         self.sent = {}
 
-    def show(self, target_id, seen_by):
+    def observe(self, target_id, seen_by):
         """Let a host observe a target; if it is cold, it reports to others."""
         now = Deadline(trio.current_time())
         if now >= self.cold_at:
-            seen_by.hear(target_id, now)
-            self.nursery.start_soon(self._tell, target_id)
+            seen_by.note_cold(target_id, now)
+            self.nursery.start_soon(self._notify_others, target_id)
 
-    async def _tell(self, target_id):
-        await trio.sleep(TELL_SECONDS)
+    async def _notify_others(self, target_id):
+        await trio.sleep(NOTIFY_SECONDS)
         for each in self.hosts:
-            each.hear(target_id, Deadline(trio.current_time()))
+            each.note_cold(target_id, Deadline(trio.current_time()))
 
     async def probe(self, place):
         """Probe one target periodically, and just before it turns cold."""
-        await trio.sleep(WARM_SECONDS % PROBE_SECONDS - 0.001)
+        await trio.sleep(WARM_BEFORE_SECONDS % PROBE_SECONDS - 0.001)
         while True:
             await trio.sleep(PROBE_SECONDS)
             prober = self.hosts[place]
-            self.show(prober.targets[place].id, prober)
+            self.observe(prober.targets[place].id, prober)
 
-    async def press(self, rng):
+    async def send_load(self, rng):
         """Send to all targets, at random times and by random hosts."""
         rate = REQUESTS_PER_SECOND * TARGETS
         end = self.cold_at + WARM_UP_SECONDS
@@ -184,7 +186,7 @@
         fleet = Fleet(count, nursery)
         for place in range(TARGETS):
             nursery.start_soon(fleet.probe, place)
-        await fleet.press(random.Random(seed))
+        await fleet.send_load(random.Random(seed))
         nursery.cancel_scope.cancel()
     assert len(fleet.sent) == TARGETS
     for times in fleet.sent.values():
--- a/agatetack/balance/test_policies.py
+++ b/agatetack/balance/test_policies.py
@@ -199,28 +199,28 @@
 async def test_lying_target_does_not_draw_everything():
     policy = make_expected_wait()
     targets = [make_target(n, report=2) for n in range(1, 5)]
-    liar = targets[0]
+    wrong_target = targets[0]
     for step in range(200):
         now = Deadline(step / 1000)
         for target in targets:
-            seen = 0 if target is liar else 2
+            seen = 0 if target is wrong_target else 2
             target.report = LoadReport(seen, 2, 0, now, ReportSource.ANSWER)
         policy.choose(targets, now)
-        policy.answered(liar, 4 * SERVICE_SECONDS, 0, now)
+        policy.answered(wrong_target, 4 * SERVICE_SECONDS, 0, now)
     assert shares(policy, targets, 0.2)[0] < 0.25
 
 
 async def test_contradicted_reports_give_way_to_the_usual_load():
     policy = make_expected_wait()
     targets = [make_target(n, others=2.0) for n in range(1, 5)]
-    liar = targets[0]
+    wrong_target = targets[0]
     for step in range(20):
         now = Deadline(step / 10)
-        liar.report = LoadReport(0, 2, 0, now, ReportSource.ANSWER)
+        wrong_target.report = LoadReport(0, 2, 0, now, ReportSource.ANSWER)
         policy.choose(targets, now)
-        assert step or policy.expected_others(liar, now) == 0
-        policy.answered(liar, 4 * SERVICE_SECONDS, 0, now)
-    assert policy.expected_others(liar, now) > 1.5
+        assert step or policy.expected_others(wrong_target, now) == 0
+        policy.answered(wrong_target, 4 * SERVICE_SECONDS, 0, now)
+    assert policy.expected_others(wrong_target, now) > 1.5
 
 
 async def test_shed_pauses_a_target_longer_each_time():
--- a/agatetack/balance/test_rate_share.py
+++ b/agatetack/balance/test_rate_share.py
@@ -68,7 +68,7 @@
         """Return the only target."""
         return self.registry.targets(SERVICE)[0]
 
-    def tell(self, rate):
+    def learn_rate(self, rate):
         """Let the host learn the target's rate limit."""
         now = Deadline(trio.current_time())
         self.target.rate_limit.note(rate, now)
@@ -101,7 +101,7 @@
     return fleet
 
 
-async def press(fleet, seconds):
+async def send_load(fleet, seconds):
     """Let every host send whenever it may, and return the times of requests."""
     sent = []
     step = STEP_SECONDS if len(fleet) < LARGE_FLEET else LARGE_STEP_SECONDS
@@ -129,15 +129,15 @@
 async def test_a_fleet_sends_what_a_target_takes(autojump_clock, count, rate):
     fleet = await make_fleet(count)
     for sender in fleet:
-        sender.tell(rate)
+        sender.learn_rate(rate)
     seconds = 30.0
-    sent = await press(fleet, seconds)
+    sent = await send_load(fleet, seconds)
     assert max_in_a_window(sent) <= bound(rate)
     # A host with enough requests loses only the test's polling interval.
     assert len(sent) >= MIN_USE_RATIO * rate * seconds
 
 
-def one_less(hosts):
+def lists_before_and_after_a_join(hosts):
     return [hosts if n % 2 else hosts[:-1] for n in range(len(hosts))]
 
 
@@ -150,7 +150,9 @@
     return [[] if n % 2 else hosts for n in range(len(hosts))]
 
 
-@pytest.mark.parametrize("views", [one_less, three_lists, half_unlisted])
+@pytest.mark.parametrize(
+    "views", [lists_before_and_after_a_join, three_lists, half_unlisted]
+)
 @pytest.mark.parametrize("count", [2, 14, 96])
 @pytest.mark.parametrize("rate", RATES)
 async def test_hosts_with_other_lists_keep_to_it(
@@ -158,11 +160,11 @@
 ):
     fleet = await make_fleet(count, views)
     for sender in fleet:
-        sender.tell(rate)
-    assert max_in_a_window(await press(fleet, 20.0)) <= bound(rate)
+        sender.learn_rate(rate)
+    assert max_in_a_window(await send_load(fleet, 20.0)) <= bound(rate)
 
 
-def everybody(number):
+def all_at_once(number):
     return 0.0
 
 
@@ -174,23 +176,23 @@
     return 0.0 if number % 2 else 5.0
 
 
-@pytest.mark.parametrize("told_after", [everybody, one_by_one, every_other])
+@pytest.mark.parametrize("learns_after", [all_at_once, one_by_one, every_other])
 @pytest.mark.parametrize("rate", RATES)
 async def test_hosts_that_learn_of_it_late_keep_to_it(
-    autojump_clock, rate, told_after
+    autojump_clock, rate, learns_after
 ):
     fleet = await make_fleet(14)
-    told, sent = [], []
+    informed, sent = [], []
     begin = trio.current_time()
     while trio.current_time() < begin + 20.0:
         for number, sender in enumerate(fleet):
-            if sender not in told and (
-                trio.current_time() >= begin + told_after(number)
+            if sender not in informed and (
+                trio.current_time() >= begin + learns_after(number)
             ):
-                sender.tell(rate)
-                told.append(sender)
+                sender.learn_rate(rate)
+                informed.append(sender)
         # Requests of hosts that do not yet know of the limit do not count.
-        sent += await press(told, STEP_SECONDS)
+        sent += await send_load(informed, STEP_SECONDS)
     assert max_in_a_window(sent) <= bound(rate)
 
 
@@ -199,14 +201,14 @@
 async def test_hosts_that_start_again_keep_to_it(autojump_clock, count, rate):
     fleet = await make_fleet(count)
     for sender in fleet:
-        sender.tell(rate)
-    sent = await press(fleet, 6.0)
+        sender.learn_rate(rate)
+    sent = await send_load(fleet, 6.0)
     for _ in range(3):
         hosts = fleet[0].listed
         fleet = [make_sender(own, hosts) for own in hosts]
         for sender in fleet:
-            sender.tell(rate)
-        sent += await press(fleet, 2.0)
+            sender.learn_rate(rate)
+        sent += await send_load(fleet, 2.0)
     assert max_in_a_window(sent) <= bound(rate)
 
 
@@ -215,13 +217,13 @@
     # Each host leaves the list in turn, including the one with the first quota.
     fleet = await make_fleet(14)
     for sender in fleet:
-        sender.tell(rate)
+        sender.learn_rate(rate)
     sent = []
     hosts = fleet[0].listed
     for gone in hosts:
         for sender in fleet:
             sender.listed[:] = [each for each in hosts if each is not gone]
-        sent += await press(fleet, 1.0)
+        sent += await send_load(fleet, 1.0)
     assert max_in_a_window(sent) <= bound(rate)
 
 
@@ -231,25 +233,25 @@
 async def test_a_rate_that_changes_binds_at_once(autojump_clock, before, after):
     fleet = await make_fleet(14)
     for sender in fleet:
-        sender.tell(before)
-    sent = await press(fleet, 10.0)
+        sender.learn_rate(before)
+    sent = await send_load(fleet, 10.0)
     assert max_in_a_window(sent) <= bound(before)
     for sender in fleet:
-        sender.tell(after)
-    assert max_in_a_window(await press(fleet, 10.0)) <= bound(after)
+        sender.learn_rate(after)
+    assert max_in_a_window(await send_load(fleet, 10.0)) <= bound(after)
 
 
 async def test_a_rate_that_ends_and_comes_again(autojump_clock):
     fleet = await make_fleet(14)
     for sender in fleet:
-        sender.tell(1.3)
-    await press(fleet, 5.0)
+        sender.learn_rate(1.3)
+    await send_load(fleet, 5.0)
     for sender in fleet:
-        sender.tell(None)
-    assert len(await press(fleet, 1.0)) >= 14
+        sender.learn_rate(None)
+    assert len(await send_load(fleet, 1.0)) >= 14
     for sender in fleet:
-        sender.tell(1.3)
-    assert max_in_a_window(await press(fleet, 10.0)) <= bound(1.3)
+        sender.learn_rate(1.3)
+    assert max_in_a_window(await send_load(fleet, 10.0)) <= bound(1.3)
 
 
 @pytest.mark.parametrize("rate", RATES)
@@ -260,9 +262,9 @@
     # All learned of the rate at the same moment, and get no further reports.
     fleet = await make_fleet(count)
     for sender in fleet:
-        sender.tell(rate)
+        sender.learn_rate(rate)
     seconds = TRIAL_AFTER_SECONDS + 40.0
-    sent = await press(fleet, seconds)
+    sent = await send_load(fleet, seconds)
     assert max_in_a_window(sent) <= bound(rate)
     quota = split_rate(rate, count - 1, count)
     windows = int(40.0 / quota.window)
@@ -280,23 +282,23 @@
 ):
     fleet = await make_fleet(2, lambda hosts: [hosts, hosts[:1]])
     unlisted = fleet[1]
-    unlisted.tell(1.3)
+    unlisted.learn_rate(1.3)
     now = Deadline(trio.current_time())
     assert unlisted.share.next_send_at(unlisted.target, now) == math.inf
-    assert await press([unlisted], 60.0) == []
+    assert await send_load([unlisted], 60.0) == []
 
 
 async def test_a_new_start_of_a_target_has_no_rate(autojump_clock):
     fleet = await make_fleet(1)
     sender = fleet[0]
     sender.registry.update([started_target(1, 1000)])
-    sender.tell(0.2)
-    assert len(await press(fleet, 2.0)) <= 1
+    sender.learn_rate(0.2)
+    assert len(await send_load(fleet, 2.0)) <= 1
     sender.registry.update([started_target(1, 2000)])
     assert sender.share.allows(sender.target)
     # It is a new process, with its own rate and quota.
-    sender.tell(0.2)
-    await press(fleet, 1.0)
+    sender.learn_rate(0.2)
+    await send_load(fleet, 1.0)
     assert list(sender.share.targets) == [sender.target.process]
 
 
@@ -304,7 +306,7 @@
     fleet = await make_fleet(1)
     sender = fleet[0]
     assert sender.share.may_probe(sender.target)
-    sender.tell(0.2)
+    sender.learn_rate(0.2)
     assert not sender.share.may_probe(sender.target)
     sender.share.record_request(sender.target)
     await trio.sleep(DUE_AFTER_SECONDS + 0.1)
@@ -330,11 +332,11 @@
     sender.registry.set_warm_up_rates({SERVICE: 5.0})
     now = Deadline(trio.current_time())
     sender.target.warmth.note(Deadline(now + 3.0), now)
-    sender.tell(40.0)
+    sender.learn_rate(40.0)
     assert sender.share.allows(sender.target)
     assert not both.allows(sender.target)
     await trio.sleep(4.0)
-    sender.tell(0.2)
+    sender.learn_rate(0.2)
     both.record_request(sender.target)
     assert cold.allows(sender.target)
     assert not both.allows(sender.target)
@@ -363,12 +365,12 @@
     ]
     await trio.sleep(LONG_SECONDS)
     for sender in fleet:
-        sender.tell(1.3)
-    sent = await press(fleet[:12], 20.0)
+        sender.learn_rate(1.3)
+    sent = await send_load(fleet[:12], 20.0)
     assert len(sent) >= MIN_USE_RATIO * 1.3 * 20.0
     for sender in fleet:
-        sender.tell(1.3)
-    assert await press(fleet[12:], TRIAL_AFTER_SECONDS) == []
+        sender.learn_rate(1.3)
+    assert await send_load(fleet[12:], TRIAL_AFTER_SECONDS) == []
 
 
 @pytest.mark.parametrize(
@@ -395,7 +397,7 @@
 ):
     # A single host has the whole rate and may send immediately.
     sender = (await make_fleet(1))[0]
-    sender.tell(rate)
+    sender.learn_rate(rate)
     now = Deadline(trio.current_time())
     until = Deadline(now + seconds + 0.001)
     assert (
--- a/agatetack/balance/test_start_share.py
+++ b/agatetack/balance/test_start_share.py
@@ -80,12 +80,12 @@
         return 8 if trio.current_time() >= start + heard_after else 0
 
     registry, share = make_share("h0", names, 10, connected)
-    told = []
-    registry.watchers.append(told.append)
+    notified = []
+    registry.watchers.append(notified.append)
     share.begin()
     assert not all(map(share.allows, registry.targets(SERVICE)))
     await share.run()
     assert trio.current_time() - start == pytest.approx(over_after, abs=0.01)
     # The watchers of the service are notified, to serve waiting requests.
-    assert told == [SERVICE]
+    assert notified == [SERVICE]
     assert all(map(share.allows, registry.targets(SERVICE)))
--- a/agatetack/balance/test_targets_that_limit_their_rate.py
+++ b/agatetack/balance/test_targets_that_limit_their_rate.py
@@ -20,7 +20,7 @@
 from agatetack.testing.targets import make_request, make_route
 
 WINDOW_SECONDS = 4.0
-TOLD_SECONDS = 0.5
+INFORMED_SECONDS = 0.5
 """Time after which a host that forwarded an answer with a rate limit has to
 respect the limit."""
 
@@ -51,7 +51,9 @@
             target.arrivals.clear()
         await fleet.press(STABLE_SECONDS + 2 * WINDOW_SECONDS, 34.0, seed=2)
         most = [
-            most_within(fleet.from_told(target, TOLD_SECONDS), WINDOW_SECONDS)
+            most_within(
+                fleet.from_told(target, INFORMED_SECONDS), WINDOW_SECONDS
+            )
             for target in limited
         ]
         assert max(most) <= bound(rate)
--- a/agatetack/balance/test_targets_that_push_back.py
+++ b/agatetack/balance/test_targets_that_push_back.py
@@ -14,7 +14,7 @@
 from agatetack.testing.store_fleet import template_settings
 from agatetack.testing.targets import make_request, make_route, started_target
 
-TOLD_SECONDS = 0.5
+INFORMED_SECONDS = 0.5
 """Time after which a host that was pushed back must send no more requests."""
 
 PER_SECOND = 90.0
@@ -54,7 +54,7 @@
         await fleet.press(5.0, PER_SECOND, seed=2)
         seconds = float(retry_after)
         most = [
-            fleet.after_pushback(target, TOLD_SECONDS, seconds)
+            fleet.after_pushback(target, INFORMED_SECONDS, seconds)
             for target in pushing
         ]
         assert all(target.turned_away for target in pushing)
@@ -192,6 +192,6 @@
             assert fleet.refused == 0
         for target in fleet.targets[:pushing]:
             assert (
-                fleet.after_pushback(target, TOLD_SECONDS, 1.0)
+                fleet.after_pushback(target, INFORMED_SECONDS, 1.0)
                 <= MAX_DURING_PUSHBACK
             )
