--- a/agatetack/admission/limits.py
+++ b/agatetack/admission/limits.py
@@ -9,7 +9,7 @@
 CROWDED_FACTOR = 0.9
 """Factor by which the limit is cut at an answer of a crowded target."""
 
-CROWDED_SLOTS = 4
+CROWDED_REQUESTS_PER_SLOT = 4
 """A target with more requests than this for each slot counts as crowded."""
 
 
@@ -29,7 +29,7 @@
         report = target.report
         crowded = (
             report is not None
-            and report.in_flight > CROWDED_SLOTS * target.slots
+            and report.in_flight > CROWDED_REQUESTS_PER_SLOT * target.slots
         )
         if crowded:
             self._set(target, learned.limit * CROWDED_FACTOR)
--- a/agatetack/balance/rate_share.py
+++ b/agatetack/balance/rate_share.py
@@ -1,6 +1,6 @@
 """Enforce the rate limit that a target has announced, across a whole fleet.
 
-An overloaded target announces how many requests per second it accepts from all
+A target may announce how many requests per second it accepts from all
 hosts together. Hosts cannot rely on messages from each other, so each computes
 its quota from a host list that all of them read: the requests that the target
 accepts in a window of some seconds are split among the hosts in an order that
