--- a/agatetack/deferred/__init__.py
+++ b/agatetack/deferred/__init__.py
@@ -1,1 +1,1 @@
-"""Keep requests that may wait, run them later and keep their results."""
+"""Store deferred requests, run them later and store their results."""
--- a/agatetack/deferred/choice.py
+++ b/agatetack/deferred/choice.py
@@ -1,4 +1,4 @@
-"""Choose which host runs a ticket, and tell which holders are gone."""
+"""Rank hosts for each ticket and detect hosts that have disappeared."""
 
 import hashlib
 from collections.abc import Sequence
@@ -12,7 +12,7 @@
 
 
 def score(ticket: TicketId, host: HostId) -> bytes:
-    """Return the weight of a host for a ticket, for rendezvous hashing."""
+    """Return a host's weight for a ticket, for rendezvous hashing."""
     digest = hashlib.blake2b(digest_size=SCORE_BYTES)
     digest.update(ticket.encode())
     digest.update(host.encode())
@@ -20,20 +20,21 @@
 
 
 def rank_of(ticket: TicketId, host: HostId, others: Sequence[HostId]) -> int:
-    """Return how many of `others` go before `host` for a ticket."""
+    """Return how many of `others` rank ahead of `host` for a ticket."""
     own = score(ticket, host)
     return sum(score(ticket, other) > own for other in others)
 
 
 class Choice:
-    """This host's view of who should run what.
+    """This host's view of which live host should run which ticket.
 
-    Views differ between hosts, and no harm comes of it: the log's order
-    decides between two holds, and a doubled run is recorded once.
+    The views of two hosts may differ without harm: the order of the log
+    decides between two holds, and if a ticket runs twice, only one result is
+    recorded.
     """
 
     def __init__(self, settings: Settings, exchange: Exchange, clock: Clock):
-        """Take the view from `exchange`."""
+        """Learn of live peers from `exchange`."""
         self.exchange = exchange
         self.clock = clock
         self.host = HostId(settings.host.id)
@@ -42,7 +43,7 @@
         self.others: list[HostId] = []
 
     def refresh(self) -> None:
-        """Note which peers are live now; call it every second or so."""
+        """Update the set of live peers; call this about once a second."""
         now = self.clock.now()
         peers = self.exchange.live_peers()
         self.others = [peer.id for peer in peers if not peer.leaving]
@@ -50,14 +51,15 @@
             self.last_seen[peer.id] = now
 
     def rank(self, ticket: TicketId) -> int:
-        """Return how many live peers go before this host."""
+        """Return how many live peers rank ahead of this host."""
         return rank_of(ticket, self.host, self.others)
 
     def gone_since(self, host: HostId) -> Deadline | None:
-        """Return since when a host counts as gone, or None.
+        """Return since when a host is presumed dead, or None if it isn't.
 
-        It must have been seen, and not lately. One that was never seen may
-        be out of this host's sight, so only the end of its hold tells.
+        A host is presumed dead once it has been seen alive and then not for
+        `takeover_seconds`. A host that was never seen may only be unreachable
+        from here, so its tickets are taken over only when its hold expires.
         """
         seen = self.last_seen.get(host)
         if seen is None or host in self.others:
--- a/agatetack/deferred/counters.py
+++ b/agatetack/deferred/counters.py
@@ -1,13 +1,13 @@
-"""Count what becomes of deferred requests."""
+"""Define the metrics of deferred requests."""
 
 from agatetack.metrics import Metrics
 
 
 class Counters:
-    """The counters of this slice; names and help texts stand here only."""
+    """The metrics of this package, with their names and help texts."""
 
     def __init__(self, metrics: Metrics):
-        """Register the counters."""
+        """Register the metrics."""
         self.submits = metrics.counter(
             "agatetack_deferred_submits_total",
             "Submissions, by result.",
@@ -41,7 +41,7 @@
         self.submits.inc({"result": result})
 
     def run(self, result: str) -> None:
-        """Count an attempt at a ticket."""
+        """Count an attempt to run a ticket."""
         self.runs.inc({"result": result})
 
     def reappended(self, kind: str) -> None:
--- a/agatetack/deferred/ends.py
+++ b/agatetack/deferred/ends.py
@@ -1,4 +1,4 @@
-"""Make the records that end a ticket."""
+"""Build the log records that store a ticket's final result."""
 
 from agatetack.deferred.fold import Ticket
 from agatetack.deferred.queue import StoredAnswer
@@ -8,13 +8,13 @@
 from agatetack.settings.model import Settings
 
 CHUNK_OVERHEAD = 1024
-"""Most bytes that an encoded chunk has besides its body and headers."""
+"""Upper bound on an encoded chunk's size without its body and headers."""
 
 
 def make_end(
     ticket: Ticket, attempt: AttemptId, kind: int, keep_until: float
 ) -> EndChunk:
-    """Return an end of one chunk without a body."""
+    """Return an end record that is a single chunk without a body."""
     return EndChunk(
         ticket=ticket.id,
         identity=ticket.identity,
@@ -34,7 +34,7 @@
     keep_until: float,
     settings: Settings,
 ) -> list[EndChunk]:
-    """Return the chunks that hold an answer, each fit for one record."""
+    """Split an answer into chunks that each fit into one log record."""
     headers = sum(len(name) + len(value) + 16 for name, value in answer.headers)
     room = settings.platform.log.max_record_bytes - CHUNK_OVERHEAD - headers
     room = max(room, CHUNK_OVERHEAD)
--- a/agatetack/deferred/fetcher.py
+++ b/agatetack/deferred/fetcher.py
@@ -1,4 +1,4 @@
-"""Give results of tickets out, on whichever host they are asked for."""
+"""Return the results of tickets; any host can answer a poll."""
 
 import dataclasses
 from collections.abc import Mapping
@@ -19,18 +19,18 @@
 
 Fetched = Result[StoredAnswer | TicketState, Refusal]
 MAX_LOADS = 3
-"""Loads of one result while re-appending moves its records."""
+"""Attempts to load a result whose records are being re-appended."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Lookup:
-    """What is known of a ticket once the log's end was read; maybe None."""
+    """A completed lookup; `ticket` is None if there is no such ticket."""
 
     ticket: Ticket | None
 
 
 class Fetcher:
-    """Answer polls from this host's fold and from the log."""
+    """Answers polls from this host's ticket state and from the log."""
 
     def __init__(
         self,
@@ -39,14 +39,14 @@
         counters: Counters,
         clock: Clock,
     ):
-        """Fetch from `partitions`."""
+        """Look up tickets in `partitions`."""
         self.settings = settings
         self.partitions = partitions
         self.counters = counters
         self.clock = clock
 
     async def fetch(self, ticket: TicketId, wait_until: Deadline) -> Fetched:
-        """Return the result, or how far it is at `wait_until`."""
+        """Return the result, or the ticket's state at `wait_until`."""
         number = partition_of(ticket, len(self.partitions))
         if number is None:
             return _unknown(ticket)
@@ -63,12 +63,12 @@
     async def _look_up(
         self, partition: Partition, ticket_id: TicketId
     ) -> Lookup | None:
-        """Look a ticket up; None if the log's end can't be read."""
+        """Look up a ticket; None if the log can't be read to its end."""
         ticket = partition.get(ticket_id)
         if not partition.caught_up or not self._useful(ticket):
             seconds = self.settings.platform.log.timeout_seconds
             limit = Deadline(self.clock.now() + seconds)
-            # It may have been accepted by another host just now.
+            # Another host may have accepted the ticket just now.
             if not await partition.wait_caught_up(limit):
                 return None
             if not await partition.sync(limit):
@@ -91,7 +91,7 @@
             except LogUnavailable:
                 return self._unavailable()
             except NotKept:
-                # Its records have just been re-appended elsewhere.
+                # Its records have just been re-appended at other offsets.
                 ticket = partition.get(ticket.id) or ticket
         return _unknown(ticket.id)
 
@@ -105,14 +105,15 @@
         return _failed(end)
 
     def _useful(self, ticket: Ticket | None) -> bool:
-        """Return whether a ticket is open, or ended and still kept."""
+        """Return whether a ticket is open or its result is still kept."""
         if ticket is None or ticket.end is None:
             return ticket is not None and ticket.open
         return ticket.end.keep_until > self.clock.wall()
 
     def _unavailable(self) -> Fetched:
         seconds = self.settings.admission.retry_after_seconds
-        # The reason's usual "not run" would speak about the ticket's request.
+        # The default outcome of this reason, "not run", would wrongly be taken
+        # as the outcome of the ticket's request.
         refusal = Refusal(
             RefusalReason.LOG_UNAVAILABLE,
             "The log can't be read now; poll again later.",
@@ -128,7 +129,7 @@
     except ValueError:
         reason = RefusalReason.INTERNAL_ERROR
     detail = f"The request could not be answered: {reason.value}."
-    # Some attempt may have run, whatever the last one's reason says.
+    # An earlier attempt may have run, whatever the reason of the last one.
     return Failure(Refusal(reason, detail, Outcome.UNKNOWN))
 
 
--- a/agatetack/deferred/fold.py
+++ b/agatetack/deferred/fold.py
@@ -1,9 +1,10 @@
 """Fold one partition's records into the state of its tickets.
 
-The fold is a join: records may come in any order, twice, or be missing where
-a re-appended copy follows, and the result is the same. Which end of a ticket
-counts is decided by the offset at which it was first complete; re-appended
-copies carry that offset along.
+The fold is order-independent and idempotent, like a join in a semilattice:
+records may come in any order, repeatedly, or be missing if a re-appended copy
+follows, and the result is the same. If a ticket has several ends, the one that
+was complete at the lowest offset counts; re-appended copies carry the offset
+of the original record.
 """
 
 import dataclasses
@@ -27,20 +28,20 @@
 from agatetack.record_log.log import LogRecord
 
 NOT_STORED = LogOffset(-1)
-"""The offset of a submission that has not been read."""
+"""Stands for the offset of a submission that has not been read."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Hold:
-    """A host's word that it runs a ticket; a hint, never a lock.
+    """A host's temporary claim to run a ticket; advisory, not a lock.
 
     Attributes:
-        number: Counts the holds of a ticket; the highest is in force.
-        attempt: Unique over all hosts.
-        host: Who runs it.
-        until: When others may take the ticket up.
-        tries: Attempts that may have run, this one included.
-        origin: The offset of its first record.
+        number: The hold's sequence number; the ticket's highest is in force.
+        attempt: The attempt's id, unique across hosts.
+        host: The host that runs the ticket.
+        until: When other hosts may take over the ticket.
+        tries: Attempts that may have run, including this one.
+        origin: The offset of its original record.
     """
 
     number: int
@@ -57,12 +58,13 @@
 
     Attributes:
         kind: Answered, expired or failed.
-        attempt: Whose end it is.
+        attempt: The attempt that recorded this end.
         origin: The offset at which it was first complete.
-        offsets: Where its chunks can be read now.
-        kept_since: The log's time of the oldest of these records.
-        keep_until: When it may be forgotten.
-        reason: Why it failed, or None.
+        offsets: The offsets at which its chunks can be read now.
+        kept_since: The append time of the oldest of these records, by the
+            log's clock.
+        keep_until: When the ticket may be forgotten.
+        reason: Why the request failed, or None.
     """
 
     kind: int
@@ -76,7 +78,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Chunk:
-    """Where one chunk of an end stands."""
+    """The position of one chunk of an end in the log."""
 
     origin: LogOffset
     offset: LogOffset
@@ -88,17 +90,20 @@
     """One deferred request, without its body.
 
     Attributes:
-        id: Its id.
-        identity: Equal for resubmissions of one request.
-        route: Its route, or "" while only its end is known.
+        id: The ticket's id.
+        identity: A digest that is the same for resubmissions of the request.
+        route: Its route, or "" while its submission has not been read.
         submitted_at: When it was submitted.
-        deadline: When its answer is of no more use.
-        offset: Where its submission can be read, or `NOT_STORED`.
-        origin: Where its first record stood, as far as known.
-        kept_since: The log's time of the submission's last record.
+        deadline: When its answer is no longer useful.
+        offset: The offset at which its submission can be read, or
+            `NOT_STORED`.
+        origin: The lowest known offset of its original records.
+        kept_since: The append time of the submission's latest record, by the
+            log's clock.
         hold: The hold in force, or None.
-        end: How it ended, or None.
-        chunked: Chunks of ends that are in several records, by attempt.
+        end: How the ticket ended, or None.
+        chunked: For each attempt, the chunks of an end that is split across
+            several records.
     """
 
     id: TicketId
@@ -115,27 +120,29 @@
 
     @property
     def open(self) -> bool:
-        """Return whether it still has to be run."""
+        """Return whether the request still has to be run."""
         return self.end is None and self.offset != NOT_STORED
 
 
 class Fold:
-    """The tickets of one partition.
+    """The state of one partition's tickets.
 
     Attributes:
-        tickets: Every ticket that is open or whose end is kept.
+        tickets: All tickets that are open or whose end is kept.
         by_identity: The ticket that resubmissions of a request are given.
         open_count: Tickets that still have to be run.
-        second_ends: Ends that came second; each is a doubled run.
+        second_ends: Ends of tickets that had already ended in another
+            attempt; each means that a request ran twice.
     """
 
     def __init__(self, chunk_seconds: float) -> None:
         """Start without tickets.
 
         Args:
-            chunk_seconds: Most time between the records of one end. It must
+            chunk_seconds: Longest time between the records of one end. It must
                 be less than what is left of the retention when records are
-                re-appended, so that none is gone before its fellows came.
+                re-appended, so that no chunk is dropped before the others
+                are in the log.
         """
         self.chunk_seconds = chunk_seconds
         self.tickets: dict[TicketId, Ticket] = {}
@@ -144,7 +151,7 @@
         self.second_ends = 0
 
     def apply(self, record: LogRecord, entry: Entry) -> TicketId:
-        """Take in one entry of `record` and return the ticket it is about."""
+        """Apply one entry of `record` and return its ticket."""
         part = entry.submission or entry.start or entry.end
         ticket = self._find(TicketId(part.ticket), record)
         was_open = ticket.open
@@ -158,7 +165,7 @@
         return ticket.id
 
     def primary(self, ticket: Ticket) -> Ticket:
-        """Return the ticket that answers for `ticket`; mostly itself."""
+        """Return the ticket to run for equal submissions; mostly `ticket`."""
         if ticket.end is not None:
             return ticket
         first = self.by_identity.get(ticket.identity, ticket.id)
@@ -170,7 +177,7 @@
         return None if ticket is None else self.tickets.get(ticket)
 
     def forget(self, ticket: Ticket) -> None:
-        """Drop a ticket whose end need not be kept any more."""
+        """Drop a ticket that need not be kept any more."""
         del self.tickets[ticket.id]
         self.open_count -= ticket.open
         self._unlist(ticket)
@@ -186,7 +193,7 @@
         self, ticket: Ticket, submission: Submission, record: LogRecord
     ) -> None:
         ticket.identity = submission.identity
-        # Routes are few, so one string serves all their tickets.
+        # There are few routes, so interning their ids saves memory.
         ticket.route = RouteId(sys.intern(submission.route))
         ticket.submitted_at = WallTime(submission.submitted_at)
         ticket.deadline = WallTime(submission.deadline)
@@ -258,7 +265,7 @@
         chunk: EndChunk,
         record: LogRecord,
     ) -> list[Chunk] | None:
-        """Return all chunks of an end if `chunk` was the last one missing."""
+        """Return all chunks of an end if it is complete with `chunk`."""
         origin = record.offset if chunk.origin is None else chunk.origin
         new = Chunk(LogOffset(origin), record.offset, record.appended_at)
         if chunk.chunks == 1:
@@ -278,16 +285,20 @@
             return None
         times = [item.kept_since for item in known.values()]
         if not self._near(min(times), max(times)):
-            # A host that starts now might not read the oldest any more.
+            # The log may already have dropped the oldest chunk, so that a host
+            # that starts now could not read it.
             return None
         return [known[index] for index in range(chunk.chunks)]
 
     def _near(self, one: WallTime, other: WallTime) -> bool:
-        """Return whether two records can count as parts of one end."""
+        """Return whether two append times are close enough for one end."""
         return abs(other - one) <= self.chunk_seconds
 
     def _list(self, ticket: Ticket) -> None:
-        """Give the ticket to resubmissions, unless they do better anew."""
+        """Index the ticket for resubmissions, unless they should run anew.
+
+        Resubmissions of a request that expired or failed get a new ticket.
+        """
         end = ticket.end
         if end is not None and end.kind != EndKind.ANSWERED:
             self._unlist(ticket)
@@ -304,8 +315,9 @@
 
 
 def _order(ticket: Ticket) -> tuple[bool, LogOffset, TicketId]:
-    """Return what the one to run of equal submissions is chosen by.
+    """Return the sort key that selects one ticket of equal submissions.
 
-    The first in the log is chosen, as it may run before the next is read.
+    The first one in the log is selected, as it may run before the next is
+    read.
     """
     return (ticket.end is None, ticket.origin, ticket.id)
--- a/agatetack/deferred/log_queue.py
+++ b/agatetack/deferred/log_queue.py
@@ -1,4 +1,4 @@
-"""Keep deferred requests in the platform's log and see that each ends."""
+"""Store deferred requests in the platform's log and run each to an end."""
 
 import random
 
@@ -32,20 +32,20 @@
 from agatetack.settings.model import Settings
 
 WORKERS = 2
-"""Workers for each request that may run; the others record ends."""
+"""Workers per request that may run at a time; the rest record ends."""
 
 REFRESH_SECONDS = 0.5
-"""How often the view of live peers and the gauges are brought up to date."""
+"""Interval at which the set of live peers and the gauges are updated."""
 
 
 class LogDeferredQueue(DeferredQueue):
-    """Deferred requests whose only lasting place is the platform's log.
+    """A queue whose only durable storage is the platform's log.
 
     Attributes:
-        partitions: Every partition by its number.
-        schedule: What this host runs next.
-        submitter: Takes requests in.
-        fetcher: Gives results out.
+        partitions: All partitions by number.
+        schedule: Decides which ticket this host runs next.
+        submitter: Accepts and stores requests.
+        fetcher: Looks up results.
         runner: This host's workers.
     """
 
@@ -60,18 +60,18 @@
         clock: Clock,
         entropy: random.Random | None = None,
     ):
-        """Build all parts; nothing is read or run before `run`.
+        """Create all components; nothing is read or run before `run`.
 
         Args:
             settings: The host's settings.
             log: The platform's log.
-            exchange: What peers tell.
+            exchange: Knows which peers are live.
             source: The routes in force.
             executor: Runs requests at targets.
             metrics: The host's counters.
             clock: The host's clocks.
-            entropy: Makes ids; the system's if None, as others must not be
-                able to guess a ticket.
+            entropy: The random source for ids. By default the system's, so
+                that ticket ids can't be guessed.
         """
         self.settings = settings
         self.entropy = entropy or random.SystemRandom()
@@ -110,7 +110,7 @@
     async def run(
         self, task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED
     ) -> None:
-        """Follow the log and run tickets, until cancelled."""
+        """Follow the log and run tickets until cancelled."""
         self.choice.refresh()
         async with trio.open_nursery() as nursery:
             for partition in self.partitions.values():
@@ -132,7 +132,7 @@
             task_status.started()
 
     async def drain(self) -> None:
-        """Take up nothing more and wait until what runs here is recorded."""
+        """Start no more tickets; wait until the running ones are recorded."""
         self.schedule.closed = True
         while self.schedule.running:
             await trio.sleep(REFRESH_SECONDS / 10)
@@ -140,20 +140,20 @@
     async def submit(
         self, route: Route, request: CallerRequest
     ) -> Result[TicketId, Refusal]:
-        """Keep the request; returned only once it was read back."""
+        """Store the request and return its ticket once it is read back."""
         return await self.submitter.submit(route, request)
 
     async def fetch(
         self, ticket: TicketId, wait_until: Deadline
     ) -> Result[StoredAnswer | TicketState, Refusal]:
-        """Return the result, or how far it is at `wait_until`.
+        """Return the result, or the ticket's state at `wait_until`.
 
-        A failed ticket is a refusal with the failure's reason.
+        For a failed ticket, return a refusal with the reason of the failure.
         """
         return await self.fetcher.fetch(ticket, wait_until)
 
     async def _refresh(self) -> None:
-        """Bring the view of the peers and the gauges up to date."""
+        """Update the set of live peers and the gauges periodically."""
         while True:
             self.choice.refresh()
             folds = [part.fold for part in self.partitions.values()]
--- a/agatetack/deferred/partition.py
+++ b/agatetack/deferred/partition.py
@@ -1,4 +1,4 @@
-"""Follow one partition's stream and read stored entries back from it."""
+"""Follow one partition's log stream and load stored entries from it."""
 
 import collections
 from collections.abc import Callable
@@ -30,32 +30,34 @@
 
 LOG = PartLog("deferred")
 RETRY_SECONDS = 0.2
-"""Pause after a failed read."""
+"""Delay before a failed read of the log is retried."""
 
 PAGE_RECORDS = 32
-"""Records read at once; each may be as large as the log allows."""
+"""Records per read; each may be as large as the log allows."""
 
 CHUNK_RATIO = 0.25
-"""Most time between the records of one end, as a share of the retention."""
+"""Longest time between the records of one end, as a share of retention."""
 
 OpenHandler = Callable[[TicketId], None]
-"""Takes a ticket that has just become known and is open."""
+"""Called with a ticket that is open and was just read from the log."""
 
 
 class NotKept(Exception):
-    """The entry asked for is no longer in the log where it stood."""
+    """The requested entry is no longer in the log at its known offset."""
 
 
 class Partition:
-    """One partition: its tickets, its stream, and who waits for what.
+    """One partition: its log stream, its tickets, and tasks waiting on them.
 
     Attributes:
-        number: Its number, which its tickets' ids begin with.
+        number: The partition's number, with which its ticket ids begin.
         fold: The state of its tickets.
         position: The offset of the next record to read.
-        caught_up: Whether the stream was read to its end since the start.
-        end_read_at: When it was last read to its end.
-        reading: Tells when the stream was read to its end after a gap.
+        caught_up: Whether the stream has been read to its end since this
+            host started, or since it last had to start over.
+        end_read_at: When the stream was last read to its end.
+        reading: Signals that the stream was read to its end after an
+            interruption.
         writer: Appends to the stream.
     """
 
@@ -68,7 +70,7 @@
         metrics: Metrics,
         clock: Clock,
     ):
-        """Start at the first record; `run` reads on from there."""
+        """Start before the first record; `run` reads the stream."""
         self.number = number
         self.settings = settings
         self.log = log
@@ -90,7 +92,7 @@
         self.on_open: OpenHandler = lambda ticket: None
 
     async def run(self) -> None:
-        """Read the stream, for ever."""
+        """Read the stream until cancelled."""
         while True:
             try:
                 await self._read_on()
@@ -103,10 +105,10 @@
 
     @property
     def fresh(self) -> bool:
-        """Return whether the fold is recent enough to act on.
+        """Return whether the ticket state is recent enough to act on.
 
-        A host that was paused, or cut off from the log, may take tickets for
-        open that have ended and were forgotten meanwhile.
+        To a host that was paused or cut off from the log, tickets that have
+        ended and been forgotten in the meantime may still look open.
         """
         log_settings = self.settings.platform.log
         longest = log_settings.poll_seconds + log_settings.timeout_seconds
@@ -114,7 +116,7 @@
         return self.caught_up and age <= longest
 
     def get(self, ticket: TicketId) -> Ticket | None:
-        """Return what is known of a ticket."""
+        """Return the state of a ticket, or None if it is unknown."""
         return self.fold.tickets.get(ticket)
 
     async def wait_for(
@@ -123,7 +125,7 @@
         condition: Callable[[Ticket], bool],
         until: Deadline,
     ) -> Ticket | None:
-        """Return the ticket once `condition` holds, or None at `until`."""
+        """Return the ticket once it meets `condition`, or None at `until`."""
         while True:
             found = self.get(ticket)
             if found is not None and condition(found):
@@ -138,20 +140,24 @@
                 return None
 
     async def wait_caught_up(self, until: Deadline) -> bool:
-        """Return whether the stream was read to its end by `until`."""
+        """Wait until the stream is read to its end; return False at `until`."""
         with trio.move_on_at(until):
             while not self.caught_up:
                 await self.changed.wait()
         return self.caught_up
 
     async def sync(self, until: Deadline) -> bool:
-        """Read all that was in the log when called; False if it can't be."""
+        """Wait until all records now in the log are read.
+
+        Returns:
+            False if the log can't be read that far by `until`.
+        """
         try:
             page = await self.log.read(
                 self.stream, self.position, until, max_records=1
             )
         except LogTruncated:
-            # The reading task starts over; this fold is not up to date.
+            # The reading task has to start over, so the state is outdated.
             return False
         except LogUnavailable:
             return False
@@ -164,7 +170,7 @@
         """Return a ticket's stored request.
 
         Raises:
-            NotKept: It is gone, or has moved on meanwhile.
+            NotKept: It was dropped, or re-appended at another offset.
             LogUnavailable: The log can't be read.
         """
         for entry in await self._load(ticket.offset):
@@ -177,7 +183,7 @@
         """Return the chunks of a ticket's end.
 
         Raises:
-            NotKept: They are gone, or have moved on meanwhile.
+            NotKept: They were dropped, or re-appended at another offset.
             LogUnavailable: The log can't be read.
         """
         chunks = []
@@ -196,7 +202,7 @@
         return chunks
 
     async def load_answer(self, ticket: Ticket, end: End) -> StoredAnswer:
-        """Return the answer that ended a ticket; raises as `load_chunks`."""
+        """Return the answer that ended a ticket; raises like `load_chunks`."""
         chunks = await self.load_chunks(ticket, end)
         return StoredAnswer(
             status=chunks[0].status or 0,
@@ -207,7 +213,8 @@
     async def _read_on(self) -> None:
         log_settings = self.settings.platform.log
         now = self.clock.now()
-        # The first reads don't wait, so that an empty stream is known at once.
+        # The first reads don't wait for new records, so that an empty stream
+        # counts as caught up at once.
         poll_seconds = log_settings.poll_seconds if self.caught_up else 0.0
         page = await self.log.read(
             self.stream,
@@ -220,7 +227,7 @@
             for ticket in self._apply(record):
                 self._announce(ticket)
             self.position = LogOffset(record.offset + 1)
-            # Decoding takes a while, and the fast routes share this thread.
+            # Decoding takes long enough to delay fast routes on this thread.
             await trio.lowlevel.checkpoint()
         if self.position >= page.end:
             self.caught_up = True
@@ -230,7 +237,7 @@
         self.changed = trio.Event()
 
     def _apply(self, record: LogRecord) -> list[TicketId]:
-        """Fold a record; return the tickets in it, each once."""
+        """Apply a record to the state; return its tickets, each once."""
         try:
             entries = decode_batch(record.payload)
         except MalformedRecord:
@@ -251,20 +258,20 @@
             self.on_open(ticket)
 
     def _unwatch(self, ticket: TicketId, event: trio.Event) -> None:
-        """Drop an event that nobody waits for any more."""
+        """Remove an event that no task waits for any more."""
         waiting = event.statistics().tasks_waiting
         if waiting == 0 and self.watched.get(ticket) is event:
             del self.watched[ticket]
 
     def _start_over(self, first: LogOffset) -> None:
-        """Fold again from the first record kept.
+        """Rebuild the state from the first record that the log still has.
 
-        Tickets that ended and were forgotten while this host did not read
-        can't be told from open ones, so the old fold is of no use.
+        The old state is discarded: it can't distinguish open tickets from
+        those that ended and were forgotten while this host wasn't reading.
         """
         if self.position > 0:
             LOG.warning(
-                "Retention overtook the reading of %s at offset %d.",
+                "Retention removed unread records of %s from offset %d on.",
                 self.stream,
                 self.position,
             )
@@ -302,7 +309,7 @@
         return page.records[0].payload
 
     def _keep(self, offset: LogOffset, payload: bytes) -> None:
-        """Cache a record, dropping those not used for longest."""
+        """Cache a record and evict the least recently used ones."""
         limit = self.settings.deferred.cache_bytes
         limit //= self.settings.deferred.partitions
         if len(payload) > limit or offset in self.cache:
--- a/agatetack/deferred/queue.py
+++ b/agatetack/deferred/queue.py
@@ -1,4 +1,4 @@
-"""Define how a request that may wait is kept and fetched."""
+"""Define the interfaces of the deferred request queue."""
 
 import abc
 import dataclasses
@@ -13,7 +13,7 @@
 
 
 class TicketState(enum.Enum):
-    """How far a deferred request has come."""
+    """The progress of a deferred request."""
 
     OPEN = "open"
     DONE = "done"
@@ -22,7 +22,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class StoredAnswer:
-    """A result kept in the log."""
+    """An answer that is stored in the log as a ticket's result."""
 
     status: int
     headers: tuple[Header, ...]
@@ -30,29 +30,29 @@
 
 
 class DeferredQueue(abc.ABC):
-    """Requests that may wait; kept in the platform's log."""
+    """A queue of deferred requests, stored in the platform's log."""
 
     @abc.abstractmethod
     async def submit(
         self, route: Route, request: CallerRequest
     ) -> Result[TicketId, Refusal]:
-        """Keep the request; returned only once it was read back.
+        """Store the request and return its ticket once it is read back.
 
-        A resubmission of the same request gets the same ticket where that is
-        known. In doubt the refusal is a `TicketRefusal`: the request may be
-        in the log, and its ticket may be polled.
+        A resubmission of the same request gets the same ticket if that is
+        known. If the request may or may not be in the log, the refusal is a
+        `TicketRefusal`, and its ticket can be polled.
         """
 
     @abc.abstractmethod
     async def fetch(
         self, ticket: TicketId, wait_until: Deadline
     ) -> Result[StoredAnswer | TicketState, Refusal]:
-        """Return the result, or how far it is at `wait_until`."""
+        """Return the result, or the ticket's state at `wait_until`."""
 
 
 class Executor(abc.ABC):
-    """Whatever runs a deferred request at low priority."""
+    """Runs deferred requests at low priority."""
 
     @abc.abstractmethod
     async def execute(self, route: Route, request: CallerRequest) -> Answer:
-        """Run the request on a slot that fast routes leave free."""
+        """Run the request on a slot that fast routes don't need."""
--- a/agatetack/deferred/records.py
+++ b/agatetack/deferred/records.py
@@ -1,4 +1,4 @@
-"""Encode and decode the records that deferred requests leave in the log."""
+"""Encode and decode the log records of deferred requests."""
 
 import base64
 import hashlib
@@ -31,21 +31,21 @@
 
 PROTOCOL = TCompactProtocolAcceleratedFactory()
 TICKET_BYTES = 16
-"""Random bytes of a ticket id, so that none can be guessed."""
+"""Random bytes in a ticket id; enough that ids can't be guessed."""
 
 ATTEMPT_BYTES = 6
-"""Random bytes of an attempt's id; the host's id stands before them."""
+"""Random bytes in an attempt id; they follow the host id."""
 
 IDENTITY_BYTES = 16
 ENTRY_OVERHEAD = 8
-"""Most bytes that a batch adds to an entry."""
+"""Upper bound on the bytes that a batch adds for each entry."""
 
 CREDENTIAL_HEADERS = (b"authorization", b"cookie")
-"""Headers that tell callers apart who chose the same request id."""
+"""Headers that distinguish callers that use the same request id."""
 
 
 class MalformedRecord(Exception):
-    """A record of the log can't be read; every host skips it alike."""
+    """A log record can't be decoded; every host skips it."""
 
 
 def stream_of(partition: int) -> StreamId:
@@ -56,19 +56,19 @@
 def new_ticket(partition: int, entropy: random.Random) -> TicketId:
     """Return a ticket id that names its partition.
 
-    It can't be guessed if `entropy` is the system's.
+    The id can't be guessed if `entropy` is the system's random source.
     """
     token = base64.urlsafe_b64encode(entropy.randbytes(TICKET_BYTES))
     return TicketId(f"{partition}-{token.decode().rstrip('=')}")
 
 
 def new_attempt(host: HostId, entropy: random.Random) -> AttemptId:
-    """Return an attempt's id that is unique over all hosts and restarts."""
+    """Return an attempt id that is unique across hosts and restarts."""
     return AttemptId(f"{host}-{entropy.randbytes(ATTEMPT_BYTES).hex()}")
 
 
 def partition_of(ticket: TicketId, partitions: int) -> int | None:
-    """Return the partition a ticket id names, or None for a foreign one."""
+    """Return the partition a ticket id names, or None if it is invalid."""
     head, _, _ = ticket.partition("-")
     if not head.isascii() or not head.isdigit() or len(head) > 4:
         return None
@@ -77,10 +77,11 @@
 
 
 def identity_of(route: Route, request: CallerRequest, body: bytes) -> bytes:
-    """Return what is equal for resubmissions of one request.
+    """Return a digest that is the same for resubmissions of one request.
 
-    It covers the whole request with the caller's credentials, so that no
-    caller is given the ticket of another's request by choosing its id.
+    The digest covers the whole request and the caller's credentials, so that
+    a caller can't get the ticket of another caller's request by reusing its
+    request id.
     """
     digest = hashlib.blake2b(digest_size=IDENTITY_BYTES)
     parts = [
@@ -102,12 +103,12 @@
 
 
 def store_headers(headers: Iterable[Header]) -> list[StoredHeader]:
-    """Return headers as records keep them."""
+    """Convert headers to the form in which records store them."""
     return [StoredHeader(name, value) for name, value in headers]
 
 
 def load_headers(headers: Iterable[StoredHeader] | None) -> list[Header]:
-    """Return headers as they were stored."""
+    """Convert stored headers back to request or answer headers."""
     return [Header(item.name, item.value) for item in headers or ()]
 
 
@@ -119,7 +120,7 @@
     body: bytes,
     clock: Clock,
 ) -> Submission:
-    """Return the record of a request whose body has been read."""
+    """Build the record of a request whose body has been read."""
     return Submission(
         ticket=ticket,
         identity=identity,
@@ -140,7 +141,7 @@
 def load_request(
     submission: Submission, deadline: Deadline, clock: Clock
 ) -> CallerRequest:
-    """Return the request of a record, to be answered by `deadline`."""
+    """Rebuild the request of a record, to be answered by `deadline`."""
     headers: Headers = load_headers(submission.headers)
     key = submission.idempotency_key
     return CallerRequest(
@@ -158,27 +159,27 @@
 
 
 def size_of(entry: Entry) -> int:
-    """Return the most bytes that an entry takes in a record."""
+    """Return an upper bound on the bytes an entry takes in a record."""
     return len(serialize(entry, PROTOCOL)) + ENTRY_OVERHEAD
 
 
 def encode_batch(entries: list[Entry]) -> bytes:
-    """Return a record of entries."""
+    """Encode entries as the payload of one log record."""
     return serialize(Batch(entries), PROTOCOL)
 
 
 def decode_batch(payload: bytes) -> list[Entry]:
-    """Return a record's entries.
+    """Decode the entries of one log record.
 
     Raises:
-        MalformedRecord: The payload isn't such a record.
+        MalformedRecord: The payload isn't a valid batch of entries.
     """
     try:
         batch = deserialize(Batch(), payload, PROTOCOL)
         batch.validate()
         for entry in batch.entries:
             _check(entry)
-    # The decoder raises many kinds of errors on bytes that are not its own.
+    # On malformed input, the decoder raises many kinds of errors.
     except (TException, EOFError, ValueError, TypeError, IndexError) as error:
         raise MalformedRecord(str(error)) from error
     except (KeyError, AttributeError, OverflowError, MemoryError) as error:
@@ -187,7 +188,7 @@
 
 
 def _check(entry: Entry) -> None:
-    """Raise an error unless exactly one valid part is set."""
+    """Raise an error unless the entry has exactly one part, a valid one."""
     parts = [entry.submission, entry.start, entry.end]
     [part] = [part for part in parts if part is not None]
     part.validate()
--- a/agatetack/deferred/runner.py
+++ b/agatetack/deferred/runner.py
@@ -1,4 +1,4 @@
-"""Take up open tickets, run them, and record how they end."""
+"""Claim open tickets, run them, and record how they end."""
 
 import dataclasses
 import random
@@ -30,18 +30,18 @@
 from agatetack.settings.model import Settings
 
 HOLD_TIMEOUTS = 2
-"""How many attempts' time a hold lasts."""
+"""How long a hold lasts, as a multiple of the attempt timeout."""
 
 MAX_DOUBLINGS = 6
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Ran:
-    """What is left to do after a run.
+    """What remains to be done after a run.
 
     Attributes:
-        again_at: When to look at the ticket again, or None.
-        end: The chunks to record, if it ended.
+        again_at: When to check the ticket again, or None.
+        end: The chunks of the ticket's end to record; empty if it is open.
     """
 
     again_at: Deadline | None
@@ -53,7 +53,7 @@
 
     Attributes:
         slots: Limits the requests that run at the same time.
-        refusals: Refusals in a row of each route, for its pauses.
+        refusals: Consecutive refusals per route, for the backoff of its pauses.
     """
 
     def __init__(
@@ -66,7 +66,7 @@
         clock: Clock,
         entropy: random.Random,
     ):
-        """Run what `schedule` hands out."""
+        """Run the tickets that `schedule` returns."""
         self.settings = settings
         self.schedule = schedule
         self.source = source
@@ -78,10 +78,10 @@
         self.refusals: dict[RouteId, int] = {}
 
     async def work(self) -> None:
-        """Run one ticket after another, for ever.
+        """Run one ticket after another until cancelled.
 
-        There are more workers than may run requests at the same time, so that
-        some can record ends meanwhile.
+        There are more workers than slots, so that some can record ends while
+        others run requests.
         """
         while True:
             async with self.slots:
@@ -98,7 +98,7 @@
         try:
             return await self._run(ticket)
         except (NotKept, LogUnavailable):
-            # Its record moved on or can't be read now; look again.
+            # Its record was re-appended elsewhere or can't be read now; retry.
             self.counters.run("not-loaded")
             return Ran(again_at)
         except BaseException:
@@ -106,7 +106,7 @@
             raise
 
     async def _run(self, ticket: Ticket) -> Ran:
-        """Run a ticket once, if this host gets it."""
+        """Run a ticket once if this host obtains the hold."""
         partition = self.schedule.partition_of(ticket.id)
         hold = await self._take_hold(partition, ticket)
         if hold is None:
@@ -142,7 +142,11 @@
     async def _take_hold(
         self, partition: Partition, ticket: Ticket
     ) -> Hold | None:
-        """Return this host's hold once it is read back, or None."""
+        """Return this host's hold once it is read back, or None.
+
+        None means that the append failed or was not confirmed in time, that
+        the ticket has ended, or that another host's hold is in force.
+        """
         record = self._next_hold(ticket)
         attempt = AttemptId(record.attempt)
         entry = Entry(start=Start(ticket.id, record))
@@ -176,10 +180,10 @@
     async def _release(
         self, partition: Partition, ticket: Ticket, hold: Hold
     ) -> None:
-        """Record that the attempt never ran, so that it does not count.
+        """Record that the attempt did not run, so that it isn't counted.
 
-        If this can't be recorded, it counts: the bound on tries holds, and a
-        ticket fails sooner.
+        If this can't be recorded, the attempt counts as a try: the limit on
+        tries still holds, but the ticket may fail sooner.
         """
         record = HoldRecord(
             number=hold.number + 1,
@@ -203,7 +207,7 @@
             writer = self.schedule.partition_of(ticket.id).writer
             if all(writer.fits(Entry(end=chunk)) for chunk in chunks):
                 return chunks
-            # Its headers alone are too large for a record.
+            # The answer's headers alone are too large for a record.
             reason = RefusalReason.RESULT_TOO_LARGE
         end = make_end(ticket, hold.attempt, EndKind.FAILED, keep)
         if reason is not None:
@@ -213,7 +217,7 @@
     async def record_end(
         self, ticket: Ticket, chunks: Sequence[EndChunk]
     ) -> None:
-        """Append the chunks of an end until the ticket is read back ended."""
+        """Append the chunks until the ticket is read back as ended."""
         partition = self.schedule.partition_of(ticket.id)
         pause = self.settings.deferred.retry_seconds
         while True:
@@ -235,7 +239,7 @@
             await trio.sleep(pause)
 
     def _pause(self, route: RouteId) -> Deadline:
-        """Leave a route alone for a while after a refusal."""
+        """Pause a route after a refusal, with exponential backoff."""
         refusals = self.refusals.get(route, 0) + 1
         self.refusals[route] = refusals
         until = self._in(self._backoff(refusals))
@@ -243,7 +247,7 @@
         return until
 
     def _backoff(self, count: int) -> float:
-        """Return how long to wait after the `count`-th failure, in s."""
+        """Return the seconds to wait after the `count`-th failure."""
         doublings = min(count - 1, MAX_DOUBLINGS)
         return self.settings.deferred.retry_seconds * 2**doublings
 
@@ -252,7 +256,7 @@
 
 
 def _answers(ticket: Ticket, record: HoldRecord) -> bool:
-    """Return whether the fold has decided about the hold of `record`."""
+    """Return whether it is known if the hold of `record` was obtained."""
     if ticket.end is not None:
         return True
     return ticket.hold is not None and ticket.hold.number >= record.number
--- a/agatetack/deferred/schedule.py
+++ b/agatetack/deferred/schedule.py
@@ -1,4 +1,4 @@
-"""Hand out the tickets that this host should run next."""
+"""Decide which ticket this host runs next, and when."""
 
 import collections
 import heapq
@@ -15,20 +15,20 @@
 from agatetack.settings.model import Settings
 
 LATER_SECONDS = 1.0
-"""When to look again at a ticket that can't be run for another reason."""
+"""Delay before a ticket that can't be run now is checked again."""
 
 
 class Schedule:
-    """The open tickets, by when this host may run them.
+    """Open tickets, ordered by when this host may run them.
 
     Attributes:
-        own: Tickets this host goes first for, ready to be taken.
-        others: Ready tickets that another host has not taken in time.
-        later: Tickets with when to look at them again, soonest first.
-        queued: Every ticket in one of the three.
-        running: Tickets that this host works on.
-        pauses: When a route may be tried again.
-        closed: Whether nothing more is handed out.
+        own: Tickets that are ready and for which this host ranks first.
+        others: Ready tickets that higher-ranked hosts did not take in time.
+        later: A heap of tickets with the time of their next check.
+        queued: All tickets in `own`, `others` and `later`.
+        running: Tickets that this host is working on.
+        pauses: For each paused route, when it may be tried again.
+        closed: Whether `take` returns no more tickets.
     """
 
     def __init__(
@@ -55,7 +55,7 @@
         self.wake = trio.Event()
 
     def add(self, ticket: TicketId, at: Deadline | None = None) -> None:
-        """Queue an open ticket, to be looked at at `at` or at once."""
+        """Queue an open ticket to be checked at `at`, by default at once."""
         if ticket in self.queued or ticket in self.running:
             return
         self.queued.add(ticket)
@@ -63,17 +63,17 @@
         self.wake.set()
 
     def done(self, ticket: TicketId, again_at: Deadline | None) -> None:
-        """End this host's work on a ticket; look again at `again_at`."""
+        """Mark a ticket as not running; queue it again if `again_at` is set."""
         self.running.discard(ticket)
         if again_at is not None:
             self.add(ticket, again_at)
 
     def pause(self, route: RouteId, until: Deadline) -> None:
-        """Try no ticket of a route before `until`."""
+        """Run no ticket of a route before `until`."""
         self.pauses[route] = until
 
     async def take(self) -> Ticket:
-        """Return the next ticket; it counts as running until `done`."""
+        """Wait for the next ticket; it counts as running until `done`."""
         while True:
             ticket = None if self.closed else self._pop()
             if ticket is not None:
@@ -87,11 +87,11 @@
                 await self.wake.wait()
 
     def partition_of(self, ticket: TicketId) -> Partition:
-        """Return the partition that a known ticket is in."""
+        """Return the partition of a valid ticket id."""
         return self.partitions[int(ticket.partition("-")[0])]
 
     def find(self, ticket: TicketId) -> Ticket | None:
-        """Return a ticket of any partition."""
+        """Return the state of a ticket, or None if it is unknown."""
         return self.partition_of(ticket).get(ticket)
 
     def _pop(self) -> Ticket | None:
@@ -111,7 +111,7 @@
         return None
 
     def _sort_due(self) -> None:
-        """Move the tickets that are due now to `own` or `others`."""
+        """Move tickets that may run now from `later` to `own` or `others`."""
         now = self.clock.now()
         while self.later and self.later[0][0] <= now:
             _, ticket_id = heapq.heappop(self.later)
@@ -128,7 +128,7 @@
                 self.others.append(ticket_id)
 
     def _due(self, ticket: Ticket) -> Deadline:
-        """Return when this host may run a ticket, as known now."""
+        """Return when this host may run a ticket, judging by current state."""
         now = self.clock.now()
         partition = self.partition_of(ticket.id)
         table = self.source.table
@@ -140,7 +140,7 @@
         ):
             return Deadline(now + LATER_SECONDS)
         if ticket.deadline <= self.clock.wall():
-            # The task that looks after expiry ends it.
+            # The upkeep task records that it has expired.
             return Deadline(now + LATER_SECONDS)
         paused = self.pauses.get(ticket.route, now)
         if paused > now:
@@ -148,14 +148,18 @@
         return self._turn(ticket)
 
     def _turn(self, ticket: Ticket) -> Deadline:
-        """Return when it is this host's turn among the live ones."""
+        """Return when this host may run a ticket, by its rank among live hosts.
+
+        Each higher-ranked host delays it by another `takeover_seconds`.
+        """
         now = self.clock.now()
         takeover = self.settings.deferred.takeover_seconds
         since = wall_to_deadline(self.clock, ticket.submitted_at)
         hold = ticket.hold
         if hold is not None:
             if hold.host == self.choice.host:
-                # An idle hold of its own, or one of an earlier life.
+                # A hold of this host that isn't running, maybe from before a
+                # restart.
                 return now
             lapse = wall_to_deadline(self.clock, hold.until)
             gone = self.choice.gone_since(hold.host)
--- a/agatetack/deferred/steady.py
+++ b/agatetack/deferred/steady.py
@@ -1,18 +1,18 @@
-"""Tell a wall time that no jump of the wall clock moves."""
+"""Provide a wall time that ignores steps of the system clock."""
 
 from agatetack.clock import Clock
 from agatetack.ids import WallTime
 
 
 class SteadyClock(Clock):
-    """The wall time at the first use, carried on by the monotonic clock.
+    """Reads the wall clock once and advances it by the monotonic clock.
 
-    Records hold wall times, since monotonic ones mean nothing to other
-    hosts. A jump of this host's wall clock must not expire them.
+    Records store wall times, since other hosts can't interpret monotonic
+    ones. A step of this host's wall clock must not make tickets expire.
     """
 
     def __init__(self, clock: Clock):
-        """Read the wall time of `clock` once, at the first use."""
+        """Use `clock`; its wall time is read once, when first needed."""
         self.clock = clock
         self.offset: float | None = None
 
--- a/agatetack/deferred/submitter.py
+++ b/agatetack/deferred/submitter.py
@@ -1,4 +1,4 @@
-"""Take requests into the log, each under one ticket."""
+"""Store submitted requests in the log, each under one ticket."""
 
 import dataclasses
 import random
@@ -25,13 +25,13 @@
 from agatetack.settings.model import Settings
 
 MAX_DOUBTFUL = 100
-"""Submissions in doubt that are remembered with their bodies; the oldest is
-dropped first."""
+"""Unconfirmed submissions that are kept in memory with their bodies; the oldest
+is dropped first."""
 
 
 @dataclasses.dataclass(slots=True)
 class Doubt:
-    """A submission of this host that is not known to have been accepted."""
+    """A submission by this host that may or may not be in the log."""
 
     ticket: TicketId
     entry: Entry
@@ -41,10 +41,10 @@
     """Append submissions and wait until they are read back.
 
     Attributes:
-        doubts: Submissions in doubt by identity. A resubmission goes on with
-            the same ticket, so that a request in doubt is never run twice
-            under two, nor refused as not run.
-        under_way: Requests that are being taken in, by identity.
+        doubts: Unconfirmed submissions by identity. A resubmission reuses the
+            ticket, so that a request that may be in the log is neither run
+            under two tickets nor refused as not run.
+        under_way: Requests that are being submitted, by identity.
     """
 
     def __init__(
@@ -55,7 +55,7 @@
         clock: Clock,
         entropy: random.Random,
     ):
-        """Submit into `partitions`."""
+        """Submit requests to `partitions`."""
         self.settings = settings
         self.partitions = partitions
         self.counters = counters
@@ -67,7 +67,7 @@
     async def submit(
         self, route: Route, request: CallerRequest
     ) -> Result[TicketId, Refusal]:
-        """Return the request's ticket once its record was read back."""
+        """Return the request's ticket once its record has been read back."""
         result = await self._submit(route, request)
         if isinstance(result, Failure):
             self.counters.submit(result.failure().reason.value)
@@ -88,7 +88,7 @@
             return Failure(refuse(reason, detail))
         identity = identity_of(route, request, body)
         while identity in self.under_way:
-            # The same request is being taken in; its outcome decides.
+            # The same request is being submitted; wait for the outcome.
             await self.under_way[identity].wait()
         self.under_way[identity] = trio.Event()
         try:
@@ -107,7 +107,7 @@
         partition = self.partitions[number]
         known = partition.fold.find_identity(identity)
         if known is not None and over(known, self.clock):
-            # Its result may not be given out any more.
+            # Its result has expired and must not be returned any more.
             partition.fold.forget(known)
             known = None
         if known is not None:
@@ -137,17 +137,18 @@
         doubt: Doubt,
         in_doubt: bool,
     ) -> Result[TicketId, Refusal]:
-        """Append until the ticket is read back or the time is over.
+        """Append until the ticket is read back or the submission times out.
 
         Args:
-            partition: Where the request belongs.
+            partition: The partition of the request.
             identity: The request's identity.
-            doubt: Its ticket and record.
-            in_doubt: Whether an earlier append may have landed.
+            doubt: The request's ticket and record.
+            in_doubt: Whether an earlier append may have succeeded.
         """
         seconds = self.settings.deferred.submit_timeout_seconds
         until = Deadline(self.clock.now() + seconds)
-        # Noted first, so that it also stands if this call is cancelled.
+        # Remembered before the append, so that a resubmission finds the ticket
+        # even if this call is cancelled.
         self._remember(identity, doubt)
         while True:
             landing = await self._append(partition, doubt.entry, until)
@@ -215,7 +216,7 @@
 
 
 def over(ticket: Ticket, clock: Clock) -> bool:
-    """Return whether a ticket has ended and its end need not be kept."""
+    """Return whether a ticket has ended and its result has expired."""
     return ticket.end is not None and ticket.end.keep_until <= clock.wall()
 
 
--- a/agatetack/deferred/test_faults.py
+++ b/agatetack/deferred/test_faults.py
@@ -1,4 +1,4 @@
-"""Test that no ticket is lost when hosts and the log fail, also in pairs."""
+"""Test that no ticket is lost in host and log faults and pairs of them."""
 
 import itertools
 import random
@@ -23,7 +23,7 @@
         "result_keep_seconds": 900,
         "partitions": 2,
         "concurrency": 2,
-        # Nothing is cached, so that what retention drops is gone.
+        # No records are cached, so that those dropped by retention are lost.
         "cache_bytes": 1,
     },
 }
@@ -66,7 +66,7 @@
 
 
 async def retention(fleet):
-    """Keep records for 60 s only, and have no slot free for longer."""
+    """Drop records after 60 s and leave no slot free for longer than that."""
     fleet.nursery.start_soon(fleet.drop_old_records)
     fleet.work.busy = True
     await trio.sleep(90)
@@ -86,7 +86,7 @@
 
 
 async def pause_host(fleet):
-    """Keep one host from the log for longer than records are kept."""
+    """Cut one host off from the log for longer than the retention."""
     host = next(iter(fleet.hosts.values()))
     host.log.faults.outage = True
     await trio.sleep(90)
@@ -111,7 +111,7 @@
 
 
 async def submit_until_kept(fleet, number, tickets):
-    """Submit as a caller does who sends again what was not accepted."""
+    """Submit a request and resubmit it until it is accepted."""
     dice = random.Random(number)
     while number not in tickets:
         name = dice.choice(list(fleet.hosts))
@@ -173,7 +173,7 @@
 
 @pytest.mark.parametrize("peers_seen", [True, False])
 async def test_live_hosts_do_not_double_runs(autojump_clock, peers_seen):
-    """Without a view of peers all go first, and the log's order decides."""
+    """If hosts see no peers, each ranks first and the log's order decides."""
     async with trio.open_nursery() as nursery:
         fleet = DeferredFleet(nursery, Work(seconds=20.0))
         fleet.blind = not peers_seen
@@ -197,7 +197,7 @@
         ticket = (await first.queue.submit(ROUTE, make_request(1))).unwrap()
         while not fleet.work.runs:
             await trio.sleep(0.1)
-        # The holder goes on running, but its peers think that it is gone.
+        # The first host keeps running, but its peers no longer see it.
         fleet.work.seconds = 0.0
         second = await fleet.start()
         await trio.sleep(1)
@@ -218,7 +218,7 @@
 
 
 async def test_overtaken_reader_takes_up_nothing_that_ended(autojump_clock):
-    """What ended and was forgotten meanwhile looks open to the old fold."""
+    """Tickets that ended and were forgotten look open in outdated state."""
     deferred = {"result_keep_seconds": 20, "partitions": 1}
     settings = {**SHORT_LOG, "deferred": deferred}
     async with trio.open_nursery() as nursery:
@@ -233,7 +233,7 @@
         fleet.work.busy = False
         await fetch_answer_of(other, tickets[0])
         await trio.sleep(100)
-        # More than one page of records, and each page takes a while.
+        # Write more than one page of records, and delay reads of each page.
         cut_off.log.faults.delay_seconds = 0.5
         for number in range(1, 41):
             request = make_request(number, seconds=800)
@@ -275,7 +275,7 @@
 
 
 async def test_copies_of_the_largest_requests_fit(autojump_clock):
-    """A copy carries the hold as well, and must not block its stream."""
+    """A copy also contains the hold, and must not block its stream."""
     log = {**SHORT_LOG["platform"]["log"], "max_record_bytes": 4096}
     settings = {**SHORT_LOG, "platform": {"log": log}}
     async with trio.open_nursery() as nursery:
--- a/agatetack/deferred/test_fold.py
+++ b/agatetack/deferred/test_fold.py
@@ -1,4 +1,4 @@
-"""Test that the fold is a join: order, copies and truncation don't matter."""
+"""Test that record order, copies and truncation don't change the state."""
 
 import dataclasses
 
@@ -87,7 +87,7 @@
 
 
 def records_of(entries: list[Entry], after: list = ()) -> list[LogRecord]:
-    """Return records that follow `after`, with a long time between."""
+    """Return records that follow `after` after a long gap."""
     since = after[-1].appended_at + 2 * CHUNK_SECONDS if after else 0.0
     return [
         LogRecord(
@@ -108,7 +108,7 @@
 
 
 def summary(fold: Fold) -> dict:
-    """Return what every host must agree on, without where copies stand."""
+    """Return the state that hosts must agree on, without copies' offsets."""
     return {
         ticket.id: (
             ticket.open,
@@ -121,7 +121,7 @@
 
 
 def append_again(fold: Fold, records: list[LogRecord]) -> list[LogRecord]:
-    """Return the stream with a copy of each live ticket at its end."""
+    """Return the stream followed by a copy of each live ticket."""
     entries = []
     for ticket in fold.tickets.values():
         if ticket.end is not None:
@@ -150,11 +150,11 @@
 @FEW
 @hypothesis.given(STREAMS, STREAMS, strategies.integers(0, 40))
 def test_truncation_after_copies_loses_nothing(entries, later, cut):
-    # No host holds a ticket that it has not read.
+    # Submissions come first, since no host holds a ticket it has not read.
     records = records_of([submission(name) for name in TICKETS] + entries)
     kept = append_again(fold_of(records), records)
     whole = kept + records_of(later, kept)
-    # Everything before the copies may be dropped, up to any record.
+    # Retention may drop any number of the records before the copies.
     rest = whole[min(cut, len(records)) :]
     assert summary(fold_of(rest)) == summary(fold_of(whole))
 
--- a/agatetack/deferred/test_kept_alive.py
+++ b/agatetack/deferred/test_kept_alive.py
@@ -1,4 +1,4 @@
-"""Test that copies keep tickets alive, however short hosts live."""
+"""Test that re-appending preserves tickets, however short hosts live."""
 
 import contextlib
 
@@ -47,7 +47,7 @@
 
 
 async def replace_hosts(fleet, live_seconds, end):
-    """Replace every host by a new one each `live_seconds`, until `end`."""
+    """Replace every host by a new one each `live_seconds` until `end`."""
     while trio.current_time() < end:
         await trio.sleep(live_seconds)
         for name in list(fleet.hosts):
@@ -55,7 +55,8 @@
             await fleet.start()
 
 
-# Guards against tickets that are dropped since nobody lives to copy them.
+# Guards against tickets that retention drops because no host runs long enough
+# to re-append them.
 @pytest.mark.parametrize("ended", [False, True])
 @pytest.mark.parametrize("hosts", [1, 3])
 @pytest.mark.parametrize("live_seconds", [0.5, 2, 4.9, 5.1, 20, 60])
@@ -74,7 +75,7 @@
         assert isinstance(result.value_or(None), StoredAnswer)
 
 
-# Guards against tickets that are dropped after all hosts were lost at once.
+# Guards against tickets that retention drops after all hosts were lost at once.
 @pytest.mark.parametrize("age", range(1, RETENTION_SECONDS - 1))
 @pytest.mark.parametrize("ended", [False, True])
 async def test_tickets_outlive_the_loss_of_all_hosts(
@@ -93,7 +94,7 @@
         assert isinstance(result.value_or(None), StoredAnswer)
 
 
-# Guards against copies that come too late after the log was away.
+# Guards against tickets that are re-appended too late after a log outage.
 @pytest.mark.parametrize("kind", ["outage", "frozen"])
 @pytest.mark.parametrize("left", [0.5, 1, 2, 4])
 @pytest.mark.parametrize("seconds", [2, 10, 20, 29])
@@ -114,7 +115,7 @@
         assert isinstance(result.value_or(None), StoredAnswer)
 
 
-# Guards against a copy that is given up after an append that failed.
+# Guards against giving up on re-appending a ticket after a failed append.
 @pytest.mark.parametrize("failed", range(5))
 @pytest.mark.parametrize(
     "fault",
@@ -134,7 +135,7 @@
         ticket = await submit(fleet)
         fleet.kill("host-1")
         await trio.sleep(RETENTION_SECONDS - 20)
-        # Holds are appended too, so that copies get some of the faults.
+        # Appends of holds use up some of the faults, too.
         fleet.service.faults.next_appends += [fault] * failed
         await fleet.start()
         await trio.sleep(RETENTION_SECONDS)
@@ -143,8 +144,8 @@
         assert isinstance(result.value_or(None), StoredAnswer)
 
 
-# Guards against copies by hosts that start together of what they have read
-# to be copied.
+# Guards against hosts that start together re-appending tickets although they
+# have already read another host's copies.
 async def test_hosts_that_start_together_share_the_copies(autojump_clock):
     tickets, hosts = 1500, 10
     async with running_fleet(busy=True) as fleet:
@@ -167,7 +168,7 @@
         assert not late
 
 
-# Guards against an answer that hides that the log has dropped a ticket.
+# Guards against hiding from callers that the log has dropped a ticket.
 async def test_callers_are_told_of_what_the_log_has_dropped(autojump_clock):
     async with running_fleet(busy=True) as fleet:
         ticket = await submit(fleet)
@@ -177,7 +178,7 @@
         assert result.failure().reason is RefusalReason.TICKET_UNKNOWN
 
 
-# Guards against more calls of the log where nothing fails.
+# Guards against unnecessary appends when nothing fails.
 async def test_a_calm_fleet_copies_a_ticket_once_in_half_a_retention(
     autojump_clock,
 ):
--- a/agatetack/deferred/test_log_queue.py
+++ b/agatetack/deferred/test_log_queue.py
@@ -1,4 +1,4 @@
-"""Test what callers are told about deferred requests, also under faults."""
+"""Test the answers callers get for deferred requests, also under faults."""
 
 import contextlib
 import dataclasses
@@ -24,7 +24,7 @@
 
 @contextlib.asynccontextmanager
 async def fleet_of(hosts, settings=None, **work):
-    """Run a fleet; its hosts' names are `host-1` and so on."""
+    """Run a fleet with hosts named `host-1`, `host-2` and so on."""
     async with trio.open_nursery() as nursery:
         fleet = DeferredFleet(nursery, Work(**work), settings)
         for _ in range(hosts):
@@ -207,7 +207,7 @@
     ],
 )
 async def test_every_ticket_ends(autojump_clock, always, reason, runs):
-    # Holds are short, so that refused tickets are taken up many times.
+    # Holds are short, so that refused tickets are tried again many times.
     settings = {"deferred": {"max_tries": 3, "attempt_timeout_seconds": 2}}
     work = {"always": {PATH: always}}
     async with fleet_of(3, settings, **work) as (fleet, hosts):
@@ -223,7 +223,7 @@
             assert reason_of(result) is reason
             assert result.failure().outcome is Outcome.UNKNOWN
         assert fleet.work.runs.get(PATH, 0) == runs
-        # A ticket that brought no answer does not stand in a new one's way.
+        # A resubmission of a request without an answer gets a new ticket.
         assert (await submit(hosts[2])).unwrap() != ticket
 
 
--- a/agatetack/deferred/test_upkeep.py
+++ b/agatetack/deferred/test_upkeep.py
@@ -1,4 +1,4 @@
-"""Test what copies carry, and what a host's own views rest on."""
+"""Test re-appended copies, restarts, host ranks and the steady clock."""
 
 import pytest
 import trio
@@ -23,7 +23,7 @@
 
 @pytest.mark.parametrize("run_seconds", [0.0, 1e9])
 async def test_copies_carry_the_first_origin(autojump_clock, run_seconds):
-    """A host that starts late sees the same hold, or the same end."""
+    """A host that starts later reads the same hold, or the same end."""
     async with trio.open_nursery() as nursery:
         fleet = DeferredFleet(nursery, Work(seconds=run_seconds), SETTINGS)
         nursery.start_soon(fleet.drop_old_records)
@@ -32,7 +32,7 @@
         await trio.sleep(10)
         known = first.queue.schedule.find(ticket)
         begun = known.end or known.hold
-        # Twice the retention, so that there are copies of copies only.
+        # After twice the retention, only copies of copies are left.
         await trio.sleep(120)
         late = await fleet.start()
         await trio.sleep(10)
@@ -54,7 +54,7 @@
         ticket = (await host.queue.submit(ROUTE, make_request(1))).unwrap()
         while not fleet.work.runs:
             await trio.sleep(0.1)
-        # An idle host reads to the end of an empty stream at once.
+        # A new host reaches the end of an empty stream without waiting.
         assert trio.current_time() < 1
         fleet.kill("only")
         fleet.work.seconds = 0.0
--- a/agatetack/deferred/test_verdict.py
+++ b/agatetack/deferred/test_verdict.py
@@ -1,4 +1,4 @@
-"""Test how an attempt's outcome decides what becomes of a ticket."""
+"""Test how an attempt's outcome decides the next step for a ticket."""
 
 import pytest
 import trio
@@ -19,7 +19,7 @@
 
 
 class CutBody(Body):
-    """A body that is cut after its first bytes."""
+    """A body that breaks off after its first bytes."""
 
     def __init__(self):
         self.parts = [b"half"]
@@ -31,7 +31,7 @@
 
 
 class OneExecutor(Executor):
-    """Return or raise one thing."""
+    """Returns an answer, raises an exception, or hangs on None."""
 
     def __init__(self, result):
         self.result = result
--- a/agatetack/deferred/upkeep.py
+++ b/agatetack/deferred/upkeep.py
@@ -1,4 +1,4 @@
-"""Expire, forget and re-append tickets in time."""
+"""Expire and forget tickets, and re-append them before retention ends."""
 
 import random
 from collections.abc import Iterable
@@ -21,33 +21,33 @@
 from agatetack.settings.model import Settings
 
 DUE_RATIO = 0.5
-"""The share of the retention after which a record is re-appended."""
+"""Age at which a record is re-appended, as a share of the retention."""
 
 STAGGER_RATIO = 0.02
-"""The share of the retention that each lower rank waits longer."""
+"""Extra wait of each lower-ranked host, as a share of the retention."""
 
 MAX_STAGGERS = 10
 MAX_DOUBLINGS = 6
 SLICE = 2000
-"""Tickets looked at before other tasks get their turn."""
+"""Tickets that are checked before other tasks may run."""
 
 GROUP = 100
-"""Tickets whose records are queued together."""
+"""Tickets whose records are queued for append together."""
 
 KEPT = (Landing.LANDED, Landing.NEEDLESS)
-"""What became of a copy if its ticket is kept now."""
+"""Append outcomes after which the ticket is safely in the log."""
 
 
 class Upkeep:
-    """Look through the tickets of one partition now and then.
+    """Periodically maintains the tickets of one partition.
 
-    Ranks spread the copies over the hosts that stay. A host that has just read
-    to the end of the stream can't know whether anybody was there before, or
-    how long it will be there itself, so it waits for nobody.
+    Waiting by rank spreads re-appends over long-running hosts. A host that
+    has just read to the end of the stream can't know whether other hosts were
+    running before, or how long it will run itself, so it doesn't wait.
 
     Attributes:
-        ranked: Whether copies wait for hosts that go before this one.
-        failures: Looks in a row that could not append all that was due.
+        ranked: Whether re-appends wait for hosts that rank ahead of this one.
+        failures: Consecutive scans that could not append all that was due.
     """
 
     def __init__(
@@ -59,7 +59,7 @@
         clock: Clock,
         entropy: random.Random,
     ):
-        """Look after `partition`."""
+        """Maintain the tickets of `partition`."""
         self.settings = settings
         self.partition = partition
         self.choice = choice
@@ -70,10 +70,10 @@
         self.failures = 0
 
     async def run(self) -> None:
-        """Look through all tickets, for ever.
+        """Scan all tickets repeatedly until cancelled.
 
-        At once when the stream has been read to its end, soon after an append
-        that failed, and every `upkeep_seconds` otherwise.
+        A scan starts as soon as the stream has been read to its end after a
+        gap, soon after a failed append, and every `upkeep_seconds` otherwise.
         """
         while True:
             resumed = self.partition.reading.resumed
@@ -88,7 +88,7 @@
                 self.failures = 0
 
     def _pause(self) -> float:
-        """Return the seconds until the next look."""
+        """Return the seconds until the next scan."""
         limits = self.settings.deferred
         if not self.failures:
             return limits.upkeep_seconds
@@ -96,10 +96,10 @@
         return min(pause, limits.upkeep_seconds)
 
     async def look_through(self) -> bool:
-        """Expire, forget and re-append what is due now.
+        """Expire, forget and re-append the tickets that are due now.
 
         Returns:
-            Whether all that was due is known to have been appended.
+            Whether all records that were due are known to be in the log.
         """
         self.counters.looks.inc({"ranked": str(self.ranked).lower()})
         tickets = list(self.partition.fold.tickets.values())
@@ -114,10 +114,11 @@
         return all_kept
 
     def _urgency(self, ticket: Ticket) -> tuple[float, int]:
-        """Return what orders due tickets, the most urgent one first.
+        """Return the sort key of due tickets, most urgent first.
 
-        Hosts that start together begin with different ones of those that are
-        equally near their end, and find the rest copied.
+        Tickets whose records are about equally old are ordered differently on
+        each host, so that hosts that start together begin with different
+        tickets and find the others already re-appended.
         """
         retention = self.settings.platform.log.retention_seconds
         step = _kept_since(ticket) // (STAGGER_RATIO * retention)
@@ -125,7 +126,7 @@
         return step, -int.from_bytes(weight, "big")
 
     def _due_among(self, tickets: list[Ticket]) -> list[Ticket]:
-        """Forget what is over and return what needs a record now."""
+        """Forget expired tickets; return those that need a record now."""
         return [
             ticket
             for ticket in self.candidates(tickets)
@@ -138,7 +139,7 @@
     def candidates(self, tickets: Iterable[Ticket]) -> list[Ticket]:
         """Return the tickets for which anything may be due now.
 
-        This looks at every ticket there is, so it is kept short.
+        This runs for every ticket, so it has to be cheap.
         """
         now = self.clock.wall()
         retention = self.settings.platform.log.retention_seconds
@@ -155,10 +156,13 @@
         return found
 
     async def _append(self, tickets: list[Ticket]) -> bool:
-        """Append what a group of tickets needs now, so that they share.
+        """Append the records that tickets need now, in shared batches.
 
-        Returns once it is read back, with what other hosts have appended
-        before it, so that the next group leaves that out.
+        Returns once they are read back, together with what other hosts have
+        appended before them, so that the next group skips those tickets.
+
+        Returns:
+            Whether all records are known to be in the log.
         """
         waiting: list[Waiting] = []
         readable = True
@@ -191,7 +195,7 @@
         """Queue the records that a ticket needs now.
 
         Raises:
-            LogUnavailable: What is to be copied can't be read.
+            LogUnavailable: The records to re-append can't be read.
         """
         if self.partition.get(ticket.id) is not ticket:
             return []
@@ -205,7 +209,7 @@
         return []
 
     def _end_lost(self, ticket: Ticket) -> list[Waiting]:
-        """End a ticket whose records are gone, unless they just moved."""
+        """Fail a ticket whose records were dropped rather than re-appended."""
         if not ticket.open or not self._past_retention(ticket.kept_since):
             return []
         self.counters.reappended("lost")
@@ -213,14 +217,15 @@
         return [self._put_end(ticket, EndKind.FAILED, reason)]
 
     def _forget(self, ticket: Ticket) -> bool:
-        """Forget a ticket that need not be kept; return whether it was."""
+        """Forget a ticket if it is no longer needed; return whether it is."""
         fold = self.partition.fold
         if fold.tickets.get(ticket.id) is not ticket:
             return True
         if ticket.end is not None:
             over = ticket.end.keep_until <= self.clock.wall()
         else:
-            # Parts of ends whose ticket is not known can be of no use.
+            # Without a submission, a hold or an incomplete end has no use once
+            # the retention has passed.
             over = ticket.offset == NOT_STORED and self._past_retention(
                 ticket.kept_since
             )
--- a/agatetack/deferred/verdict.py
+++ b/agatetack/deferred/verdict.py
@@ -1,4 +1,4 @@
-"""Run a stored request once and judge what came of it."""
+"""Run a stored request once and decide what to do with its ticket."""
 
 import dataclasses
 import enum
@@ -30,7 +30,7 @@
         RefusalReason.RESULT_TOO_LARGE,
     }
 )
-"""Refusals that another try would only bring again."""
+"""Refusals that a retry would only repeat."""
 
 
 class Next(enum.Enum):
@@ -44,7 +44,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Verdict:
-    """What came of one attempt.
+    """The outcome of one attempt.
 
     Attributes:
         next: What to do with the ticket.
@@ -60,7 +60,7 @@
 async def run_once(
     executor: Executor, route: Route, request: CallerRequest, settings: Settings
 ) -> Verdict:
-    """Run a request until its deadline and judge the outcome."""
+    """Run a request until its deadline at most and classify the outcome."""
     verdict = Verdict(Next.TRY_AGAIN, RefusalReason.ANSWER_TIMEOUT)
     with trio.move_on_at(request.deadline):
         try:
@@ -71,7 +71,7 @@
             verdict = _judge_failure(failure.reason, failure.outcome)
         except AnswerCut:
             verdict = Verdict(Next.TRY_AGAIN, RefusalReason.ANSWER_CUT)
-        # An executor may raise anything; the ticket must not vanish with it.
+        # An executor may raise any exception; the ticket must not be lost.
         except Exception as error:
             LOG.request(request.request_id, "An attempt raised %r.", error)
             verdict = Verdict(Next.TRY_AGAIN, RefusalReason.INTERNAL_ERROR)
--- a/agatetack/deferred/writer.py
+++ b/agatetack/deferred/writer.py
@@ -1,4 +1,4 @@
-"""Append entries to one stream in batches, at this host's share."""
+"""Append entries to streams in batches, within this host's append rate."""
 
 import collections
 import dataclasses
@@ -21,19 +21,19 @@
 from agatetack.settings.model import Settings
 
 STREAM_KIND = "deferred"
-"""The label of these streams in the log's counters."""
+"""The label of these streams in the log's metrics."""
 
 MAX_BATCH = 50
-"""Entries of one record; decoding more would hold up the fast routes."""
+"""Most entries in one record; decoding more would delay the fast routes."""
 
 COPY_OVERHEAD = 512
-"""Most bytes that a hold or an origin adds to a copy."""
+"""Upper bound on the bytes that hold and origin add to a re-appended entry."""
 
 MIN_PAUSE_SECONDS = 0.001
 
 
 class Landing(enum.Enum):
-    """What became of an entry's append."""
+    """The outcome of appending an entry."""
 
     LANDED = "landed"
     REFUSED = "refused"
@@ -43,14 +43,15 @@
 
 @dataclasses.dataclass(slots=True, eq=False)
 class Waiting:
-    """An entry on its way into the log.
+    """An entry that is queued or being appended.
 
     Attributes:
         entry: The entry.
-        size: The most bytes that it takes in a record.
-        needed: Asked shortly before it is sent; if not, it is left out.
+        size: An upper bound on the bytes it takes in a record.
+        needed: Called shortly before the append; if it returns False, the
+            entry is skipped.
         done: Set once the append has ended.
-        landing: What became of it, once it has ended.
+        landing: The outcome, once the append has ended.
     """
 
     entry: Entry
@@ -61,10 +62,10 @@
 
 
 class Pacer:
-    """Keep a host's appends of all partitions to their share."""
+    """Limits the rate of a host's appends, summed over all partitions."""
 
     def __init__(self, settings: Settings, clock: Clock):
-        """Allow `deferred.append_ratio` of the host's appends."""
+        """Allow the share `deferred.append_ratio` of the host's append rate."""
         self.clock = clock
         self.burst = float(settings.deferred.append_burst)
         self.per_second = (
@@ -85,13 +86,14 @@
             if self.tokens >= 1:
                 self.tokens -= 1
                 return
-            # A rounded rest of a token must not make this spin.
+            # Rounding can leave a tiny fraction of a token missing; a minimum
+            # pause keeps that from becoming a busy loop.
             missing = (1 - self.tokens) / self.per_second
             await trio.sleep(max(missing, MIN_PAUSE_SECONDS))
 
 
 class Writer:
-    """Append entries to one stream; one append is under way at a time."""
+    """Appends entries to one stream, one append at a time."""
 
     def __init__(
         self,
@@ -102,7 +104,7 @@
         metrics: Metrics,
         clock: Clock,
     ):
-        """Write to `stream`; nothing is sent before `run`."""
+        """Write to `stream`; nothing is appended before `run`."""
         self.settings = settings
         self.log = log
         self.stream = stream
@@ -113,28 +115,32 @@
         self.wake = trio.Event()
 
     def fits(self, entry: Entry) -> bool:
-        """Return whether an entry, and copies of it, fit into one record."""
+        """Return whether an entry, also when re-appended, fits one record."""
         limit = self.settings.platform.log.max_record_bytes
         return size_of(entry) + ENTRY_OVERHEAD + COPY_OVERHEAD <= limit
 
     def put(
         self, entry: Entry, needed: Callable[[], bool] = lambda: True
     ) -> Waiting:
-        """Queue an entry that fits; wait for its `done`."""
+        """Queue an entry that fits; the caller waits for its `done`."""
         waiting = Waiting(entry, size_of(entry), needed)
         self.queue.append(waiting)
         self.wake.set()
         return waiting
 
     def withdraw(self, waiting: Waiting) -> bool:
-        """Take an entry back; return whether it will never be appended."""
+        """Remove an entry from the queue if it is still there.
+
+        Returns:
+            Whether the entry is certain never to be appended.
+        """
         if waiting not in self.queue:
             return waiting.landing is Landing.REFUSED
         self.queue.remove(waiting)
         return True
 
     async def write(self, entry: Entry) -> Landing:
-        """Append an entry and return what became of it."""
+        """Append an entry and return the outcome."""
         waiting = self.put(entry)
         try:
             await waiting.done.wait()
@@ -143,12 +149,12 @@
         return waiting.landing or Landing.UNKNOWN
 
     async def run(self) -> None:
-        """Append what is queued, for ever."""
+        """Append queued entries until cancelled."""
         while True:
             if not self.queue:
                 self.wake = trio.Event()
                 await self.wake.wait()
-            # Entries that come together share one append.
+            # Wait briefly, so that entries queued together share an append.
             await trio.sleep(self.settings.deferred.append_interval_seconds)
             await self.pacer.take()
             batch = self._take_batch()
@@ -163,7 +169,7 @@
                 self._end(self.queue.popleft(), Landing.NEEDLESS)
                 continue
             room -= self.queue[0].size
-            # An entry too large for any record goes alone, and is refused.
+            # An entry too large for any record is sent alone and refused.
             if room < 0 and batch:
                 break
             batch.append(self.queue.popleft())
@@ -177,7 +183,7 @@
             await self.log.append(self.stream, payload, deadline)
         except LogTooFast as error:
             self._count("too-fast", 0)
-            # It had no effect, so the entries keep their places.
+            # The append had no effect, so requeue the entries in order.
             self.queue.extendleft(reversed(batch))
             await trio.sleep_until(error.retry_at)
             return
