--- a/agatetack/deferred/records.py
+++ b/agatetack/deferred/records.py
@@ -37,7 +37,7 @@
 """Random bytes in an attempt id; they follow the host id."""
 
 IDENTITY_BYTES = 16
-ENTRY_OVERHEAD = 8
+ENTRY_OVERHEAD_BYTES = 8
 """Upper bound on the bytes that a batch adds for each entry."""
 
 CREDENTIAL_HEADERS = (b"authorization", b"cookie")
@@ -160,7 +160,7 @@
 
 def size_of(entry: Entry) -> int:
     """Return an upper bound on the bytes an entry takes in a record."""
-    return len(serialize(entry, PROTOCOL)) + ENTRY_OVERHEAD
+    return len(serialize(entry, PROTOCOL)) + ENTRY_OVERHEAD_BYTES
 
 
 def encode_batch(entries: list[Entry]) -> bytes:
--- a/agatetack/deferred/runner.py
+++ b/agatetack/deferred/runner.py
@@ -16,7 +16,7 @@
 from agatetack.deferred.records import load_request, new_attempt
 from agatetack.deferred.schedule import LATER_SECONDS, Schedule
 from agatetack.deferred.verdict import Next, Verdict, run_once
-from agatetack.deferred.writer import Landing
+from agatetack.deferred.writer import AppendOutcome
 from agatetack.generated.deferred.ttypes import (
     EndChunk,
     EndKind,
@@ -150,8 +150,8 @@
         record = self._next_hold(ticket)
         attempt = AttemptId(record.attempt)
         entry = Entry(start=Start(ticket.id, record))
-        landing = await partition.writer.write(entry)
-        if landing is Landing.REFUSED:
+        outcome = await partition.writer.write(entry)
+        if outcome is AppendOutcome.REFUSED:
             return None
         until = self._in(self.settings.platform.log.timeout_seconds)
         await partition.wait_for(
@@ -221,12 +221,12 @@
         partition = self.schedule.partition_of(ticket.id)
         pause = self.settings.deferred.retry_seconds
         while True:
-            landings = [
+            outcomes = [
                 await partition.writer.write(Entry(end=chunk))
                 for chunk in chunks
             ]
             until = self._in(self.settings.platform.log.timeout_seconds)
-            if Landing.REFUSED not in landings:
+            if AppendOutcome.REFUSED not in outcomes:
                 known = await partition.wait_for(
                     ticket.id, lambda known: known.end is not None, until
                 )
--- a/agatetack/deferred/submitter.py
+++ b/agatetack/deferred/submitter.py
@@ -17,7 +17,7 @@
     make_submission,
     new_ticket,
 )
-from agatetack.deferred.writer import Landing
+from agatetack.deferred.writer import AppendOutcome
 from agatetack.generated.deferred.ttypes import Entry
 from agatetack.ids import Deadline, TicketId
 from agatetack.messages import Body, CallerGone, CallerRequest
@@ -151,8 +151,8 @@
         # even if this call is cancelled.
         self._remember(identity, doubt)
         while True:
-            landing = await self._append(partition, doubt.entry, until)
-            if landing is Landing.REFUSED and not in_doubt:
+            outcome = await self._append(partition, doubt.entry, until)
+            if outcome is AppendOutcome.REFUSED and not in_doubt:
                 self.doubts.pop(identity, None)
                 return Failure(self._refuse_log())
             in_doubt = True
@@ -169,16 +169,16 @@
 
     async def _append(
         self, partition: Partition, entry: Entry, until: Deadline
-    ) -> Landing:
-        waiting = partition.writer.put(entry)
+    ) -> AppendOutcome:
+        pending = partition.writer.put(entry)
         try:
             with trio.move_on_at(until):
-                await waiting.done.wait()
+                await pending.done.wait()
         finally:
-            never = partition.writer.withdraw(waiting)
-        if never:
-            return Landing.REFUSED
-        return waiting.landing or Landing.UNKNOWN
+            never_appended = partition.writer.withdraw(pending)
+        if never_appended:
+            return AppendOutcome.REFUSED
+        return pending.outcome or AppendOutcome.UNKNOWN
 
     def _read_back_until(self) -> Deadline:
         seconds = self.settings.platform.log.timeout_seconds
--- a/agatetack/deferred/upkeep.py
+++ b/agatetack/deferred/upkeep.py
@@ -12,7 +12,7 @@
 from agatetack.deferred.fold import NOT_STORED, Ticket
 from agatetack.deferred.partition import NotKept, Partition
 from agatetack.deferred.records import new_attempt
-from agatetack.deferred.writer import Landing, Waiting
+from agatetack.deferred.writer import AppendOutcome, PendingEntry
 from agatetack.generated.deferred.ttypes import EndKind, Entry
 from agatetack.generated.deferred.ttypes import Hold as HoldRecord
 from agatetack.ids import Deadline, HostId, WallTime
@@ -34,7 +34,7 @@
 GROUP = 100
 """Tickets whose records are queued for append together."""
 
-KEPT = (Landing.LANDED, Landing.NEEDLESS)
+KEPT = (AppendOutcome.LANDED, AppendOutcome.NEEDLESS)
 """Append outcomes after which the ticket is safely in the log."""
 
 
@@ -164,19 +164,19 @@
         Returns:
             Whether all records are known to be in the log.
         """
-        waiting: list[Waiting] = []
+        pending: list[PendingEntry] = []
         readable = True
         for ticket in tickets:
             try:
-                waiting += await self._put(ticket)
+                pending += await self._put(ticket)
             except LogUnavailable:
                 self.counters.reappended("log-unavailable")
                 readable = False
-        for entry in waiting:
+        for entry in pending:
             await entry.done.wait()
-        missed = sum(entry.landing not in KEPT for entry in waiting)
+        missed = sum(entry.outcome not in KEPT for entry in pending)
         self.counters.kept.add({"kind": "not-landed"}, missed)
-        if waiting and not missed:
+        if pending and not missed:
             await self._read_back(tickets)
         return readable and not missed
 
@@ -191,7 +191,7 @@
                     until,
                 )
 
-    async def _put(self, ticket: Ticket) -> list[Waiting]:
+    async def _put(self, ticket: Ticket) -> list[PendingEntry]:
         """Queue the records that a ticket needs now.
 
         Raises:
@@ -208,7 +208,7 @@
             return self._end_lost(ticket)
         return []
 
-    def _end_lost(self, ticket: Ticket) -> list[Waiting]:
+    def _end_lost(self, ticket: Ticket) -> list[PendingEntry]:
         """Fail a ticket whose records were dropped rather than re-appended."""
         if not ticket.open or not self._past_retention(ticket.kept_since):
             return []
@@ -261,20 +261,20 @@
         share = DUE_RATIO + staggers * STAGGER_RATIO
         return kept_since + share * retention <= now
 
-    def _expire(self, ticket: Ticket) -> Waiting:
+    def _expire(self, ticket: Ticket) -> PendingEntry:
         reason = RefusalReason.TICKET_EXPIRED
         return self._put_end(ticket, EndKind.EXPIRED, reason)
 
     def _put_end(
         self, ticket: Ticket, kind: int, reason: RefusalReason
-    ) -> Waiting:
+    ) -> PendingEntry:
         keep = self.clock.wall() + self.settings.deferred.result_keep_seconds
         attempt = new_attempt(HostId(self.settings.host.id), self.entropy)
         end = make_end(ticket, attempt, kind, keep)
         end.reason = reason.value
         return self.partition.writer.put(Entry(end=end))
 
-    async def _put_again(self, ticket: Ticket) -> list[Waiting]:
+    async def _put_again(self, ticket: Ticket) -> list[PendingEntry]:
         writer = self.partition.writer
 
         def needed() -> bool:
--- a/agatetack/deferred/writer.py
+++ b/agatetack/deferred/writer.py
@@ -8,7 +8,11 @@
 import trio
 
 from agatetack.clock import Clock
-from agatetack.deferred.records import ENTRY_OVERHEAD, encode_batch, size_of
+from agatetack.deferred.records import (
+    ENTRY_OVERHEAD_BYTES,
+    encode_batch,
+    size_of,
+)
 from agatetack.generated.deferred.ttypes import Entry
 from agatetack.ids import Deadline, StreamId
 from agatetack.metrics import Metrics
@@ -23,16 +27,16 @@
 STREAM_KIND = "deferred"
 """The label of these streams in the log's metrics."""
 
-MAX_BATCH = 50
+MAX_BATCH_ENTRIES = 50
 """Most entries in one record; decoding more would delay the fast routes."""
 
-COPY_OVERHEAD = 512
+COPY_OVERHEAD_BYTES = 512
 """Upper bound on the bytes that hold and origin add to a re-appended entry."""
 
 MIN_PAUSE_SECONDS = 0.001
 
 
-class Landing(enum.Enum):
+class AppendOutcome(enum.Enum):
     """The outcome of appending an entry."""
 
     LANDED = "landed"
@@ -42,7 +46,7 @@
 
 
 @dataclasses.dataclass(slots=True, eq=False)
-class Waiting:
+class PendingEntry:
     """An entry that is queued or being appended.
 
     Attributes:
@@ -51,14 +55,14 @@
         needed: Called shortly before the append; if it returns False, the
             entry is skipped.
         done: Set once the append has ended.
-        landing: The outcome, once the append has ended.
+        outcome: The outcome, once the append has ended.
     """
 
     entry: Entry
     size: int
     needed: Callable[[], bool]
     done: trio.Event = dataclasses.field(default_factory=trio.Event)
-    landing: Landing | None = None
+    outcome: AppendOutcome | None = None
 
 
 class Pacer:
@@ -111,42 +115,44 @@
         self.pacer = pacer
         self.metrics = metrics
         self.clock = clock
-        self.queue: collections.deque[Waiting] = collections.deque()
+        self.queue: collections.deque[PendingEntry] = collections.deque()
         self.wake = trio.Event()
 
     def fits(self, entry: Entry) -> bool:
         """Return whether an entry, also when re-appended, fits one record."""
         limit = self.settings.platform.log.max_record_bytes
-        return size_of(entry) + ENTRY_OVERHEAD + COPY_OVERHEAD <= limit
+        return (
+            size_of(entry) + ENTRY_OVERHEAD_BYTES + COPY_OVERHEAD_BYTES <= limit
+        )
 
     def put(
         self, entry: Entry, needed: Callable[[], bool] = lambda: True
-    ) -> Waiting:
+    ) -> PendingEntry:
         """Queue an entry that fits; the caller waits for its `done`."""
-        waiting = Waiting(entry, size_of(entry), needed)
-        self.queue.append(waiting)
+        pending = PendingEntry(entry, size_of(entry), needed)
+        self.queue.append(pending)
         self.wake.set()
-        return waiting
+        return pending
 
-    def withdraw(self, waiting: Waiting) -> bool:
+    def withdraw(self, pending: PendingEntry) -> bool:
         """Remove an entry from the queue if it is still there.
 
         Returns:
             Whether the entry is certain never to be appended.
         """
-        if waiting not in self.queue:
-            return waiting.landing is Landing.REFUSED
-        self.queue.remove(waiting)
+        if pending not in self.queue:
+            return pending.outcome is AppendOutcome.REFUSED
+        self.queue.remove(pending)
         return True
 
-    async def write(self, entry: Entry) -> Landing:
+    async def write(self, entry: Entry) -> AppendOutcome:
         """Append an entry and return the outcome."""
-        waiting = self.put(entry)
+        pending = self.put(entry)
         try:
-            await waiting.done.wait()
+            await pending.done.wait()
         finally:
-            self.withdraw(waiting)
-        return waiting.landing or Landing.UNKNOWN
+            self.withdraw(pending)
+        return pending.outcome or AppendOutcome.UNKNOWN
 
     async def run(self) -> None:
         """Append queued entries until cancelled."""
@@ -161,22 +167,24 @@
             if batch:
                 await self._append(batch)
 
-    def _take_batch(self) -> list[Waiting]:
-        room = self.settings.platform.log.max_record_bytes - ENTRY_OVERHEAD
-        batch: list[Waiting] = []
-        while self.queue and len(batch) < MAX_BATCH:
+    def _take_batch(self) -> list[PendingEntry]:
+        free_bytes = (
+            self.settings.platform.log.max_record_bytes - ENTRY_OVERHEAD_BYTES
+        )
+        batch: list[PendingEntry] = []
+        while self.queue and len(batch) < MAX_BATCH_ENTRIES:
             if not self.queue[0].needed():
-                self._end(self.queue.popleft(), Landing.NEEDLESS)
+                self._end(self.queue.popleft(), AppendOutcome.NEEDLESS)
                 continue
-            room -= self.queue[0].size
+            free_bytes -= self.queue[0].size
             # An entry too large for any record is sent alone and refused.
-            if room < 0 and batch:
+            if free_bytes < 0 and batch:
                 break
             batch.append(self.queue.popleft())
         return batch
 
-    async def _append(self, batch: list[Waiting]) -> None:
-        payload = encode_batch([waiting.entry for waiting in batch])
+    async def _append(self, batch: list[PendingEntry]) -> None:
+        payload = encode_batch([pending.entry for pending in batch])
         seconds = self.settings.platform.log.timeout_seconds
         deadline = Deadline(self.clock.now() + seconds)
         try:
@@ -188,18 +196,18 @@
             await trio.sleep_until(error.retry_at)
             return
         except LogUnavailable:
-            landing = Landing.REFUSED
+            outcome = AppendOutcome.REFUSED
         except LogOutcomeUnknown:
-            landing = Landing.UNKNOWN
+            outcome = AppendOutcome.UNKNOWN
         else:
-            landing = Landing.LANDED
-        self._count(landing.value, len(batch))
-        for waiting in batch:
-            self._end(waiting, landing)
-
-    def _end(self, waiting: Waiting, landing: Landing) -> None:
-        waiting.landing = landing
-        waiting.done.set()
+            outcome = AppendOutcome.LANDED
+        self._count(outcome.value, len(batch))
+        for pending in batch:
+            self._end(pending, outcome)
+
+    def _end(self, pending: PendingEntry, outcome: AppendOutcome) -> None:
+        pending.outcome = outcome
+        pending.done.set()
 
     def _count(self, result: str, records: int) -> None:
         self.metrics.appends.inc({"kind": STREAM_KIND, "result": result})
