--- a/agatetack/deferred/log_queue.py
+++ b/agatetack/deferred/log_queue.py
@@ -157,10 +157,10 @@
         while True:
             self.choice.refresh()
             folds = [part.fold for part in self.partitions.values()]
-            still_open = sum(fold.open_count for fold in folds)
+            open_tickets = sum(fold.open_count for fold in folds)
             known = sum(len(fold.tickets) for fold in folds)
             second = sum(fold.second_ends for fold in folds)
-            self.counters.open.set({}, still_open)
-            self.counters.ended.set({}, known - still_open)
+            self.counters.open.set({}, open_tickets)
+            self.counters.ended.set({}, known - open_tickets)
             self.counters.second_ends.set({}, second)
             await trio.sleep(REFRESH_SECONDS)
--- a/agatetack/deferred/submitter.py
+++ b/agatetack/deferred/submitter.py
@@ -24,13 +24,13 @@
 from agatetack.outcomes import Refusal, RefusalReason, TicketRefusal, refuse
 from agatetack.settings.model import Settings
 
-MAX_DOUBTFUL = 100
+MAX_UNCONFIRMED_SUBMISSIONS = 100
 """Unconfirmed submissions that are kept in memory with their bodies; the oldest
 is dropped first."""
 
 
 @dataclasses.dataclass(slots=True)
-class Doubt:
+class UnconfirmedSubmission:
     """A submission by this host that may or may not be in the log."""
 
     ticket: TicketId
@@ -41,10 +41,10 @@
     """Append submissions and wait until they are read back.
 
     Attributes:
-        doubts: Unconfirmed submissions by identity. A resubmission reuses the
-            ticket, so that a request that may be in the log is neither run
+        unconfirmed: Unconfirmed submissions by identity. A resubmission reuses
+            the ticket, so that a request that may be in the log is neither run
             under two tickets nor refused as not run.
-        under_way: Requests that are being submitted, by identity.
+        in_progress: Requests that are being submitted, by identity.
     """
 
     def __init__(
@@ -61,8 +61,8 @@
         self.counters = counters
         self.clock = clock
         self.entropy = entropy
-        self.doubts: dict[bytes, Doubt] = {}
-        self.under_way: dict[bytes, trio.Event] = {}
+        self.unconfirmed: dict[bytes, UnconfirmedSubmission] = {}
+        self.in_progress: dict[bytes, trio.Event] = {}
 
     async def submit(
         self, route: Route, request: CallerRequest
@@ -87,16 +87,16 @@
             detail = f"The body is larger than {limit} bytes."
             return Failure(refuse(reason, detail))
         identity = identity_of(route, request, body)
-        while identity in self.under_way:
+        while identity in self.in_progress:
             # The same request is being submitted; wait for the outcome.
-            await self.under_way[identity].wait()
-        self.under_way[identity] = trio.Event()
+            await self.in_progress[identity].wait()
+        self.in_progress[identity] = trio.Event()
         try:
-            return await self._take_in(route, request, identity, body)
+            return await self._accept(route, request, identity, body)
         finally:
-            self.under_way.pop(identity).set()
+            self.in_progress.pop(identity).set()
 
-    async def _take_in(
+    async def _accept(
         self,
         route: Route,
         request: CallerRequest,
@@ -106,17 +106,19 @@
         number = int.from_bytes(identity[:4], "big") % len(self.partitions)
         partition = self.partitions[number]
         known = partition.fold.find_identity(identity)
-        if known is not None and over(known, self.clock):
+        if known is not None and result_expired(known, self.clock):
             # Its result has expired and must not be returned any more.
             partition.fold.forget(known)
             known = None
         if known is not None:
             self.counters.submit("known")
             return Success(known.id)
-        doubt = self.doubts.get(identity)
-        if doubt is not None:
-            return await self._land(partition, identity, doubt, True)
-        if self._full():
+        unconfirmed = self.unconfirmed.get(identity)
+        if unconfirmed is not None:
+            return await self._append_until_confirmed(
+                partition, identity, unconfirmed, True
+            )
+        if self._at_capacity():
             return Failure(self._refuse_full())
         ticket = new_ticket(number, self.entropy)
         submission = make_submission(
@@ -126,46 +128,46 @@
         if not partition.writer.fits(entry):
             reason = RefusalReason.BODY_TOO_LARGE
             return Failure(refuse(reason, "The request fits no log record."))
-        return await self._land(
-            partition, identity, Doubt(ticket, entry), False
+        return await self._append_until_confirmed(
+            partition, identity, UnconfirmedSubmission(ticket, entry), False
         )
 
-    async def _land(
+    async def _append_until_confirmed(
         self,
         partition: Partition,
         identity: bytes,
-        doubt: Doubt,
-        in_doubt: bool,
+        unconfirmed: UnconfirmedSubmission,
+        maybe_appended: bool,
     ) -> Result[TicketId, Refusal]:
         """Append until the ticket is read back or the submission times out.
 
         Args:
             partition: The partition of the request.
             identity: The request's identity.
-            doubt: The request's ticket and record.
-            in_doubt: Whether an earlier append may have succeeded.
+            unconfirmed: The request's ticket and record.
+            maybe_appended: Whether an earlier append may have succeeded.
         """
         seconds = self.settings.deferred.submit_timeout_seconds
         until = Deadline(self.clock.now() + seconds)
         # Remembered before the append, so that a resubmission finds the ticket
         # even if this call is cancelled.
-        self._remember(identity, doubt)
+        self._remember_unconfirmed(identity, unconfirmed)
         while True:
-            outcome = await self._append(partition, doubt.entry, until)
-            if outcome is AppendOutcome.REFUSED and not in_doubt:
-                self.doubts.pop(identity, None)
-                return Failure(self._refuse_log())
-            in_doubt = True
-            read_back = Deadline(min(until, self._read_back_until()))
+            outcome = await self._append(partition, unconfirmed.entry, until)
+            if outcome is AppendOutcome.REFUSED and not maybe_appended:
+                self.unconfirmed.pop(identity, None)
+                return Failure(self._refuse_log_unavailable())
+            maybe_appended = True
+            confirm_by = Deadline(min(until, self._confirmation_deadline()))
             known = await partition.wait_for(
-                doubt.ticket, lambda known: True, read_back
+                unconfirmed.ticket, lambda known: True, confirm_by
             )
             if known is not None:
-                self.doubts.pop(identity, None)
+                self.unconfirmed.pop(identity, None)
                 self.counters.submit("accepted")
                 return Success(partition.fold.primary(known).id)
             if self.clock.now() >= until:
-                return Failure(_refuse_doubt(doubt.ticket))
+                return Failure(_refuse_in_doubt(unconfirmed.ticket))
 
     async def _append(
         self, partition: Partition, entry: Entry, until: Deadline
@@ -180,21 +182,25 @@
             return AppendOutcome.REFUSED
         return pending.outcome or AppendOutcome.UNKNOWN
 
-    def _read_back_until(self) -> Deadline:
+    def _confirmation_deadline(self) -> Deadline:
         seconds = self.settings.platform.log.timeout_seconds
         return Deadline(self.clock.now() + seconds)
 
-    def _remember(self, identity: bytes, doubt: Doubt) -> None:
-        self.doubts[identity] = doubt
-        if len(self.doubts) > MAX_DOUBTFUL:
-            del self.doubts[next(iter(self.doubts))]
+    def _remember_unconfirmed(
+        self, identity: bytes, unconfirmed: UnconfirmedSubmission
+    ) -> None:
+        self.unconfirmed[identity] = unconfirmed
+        if len(self.unconfirmed) > MAX_UNCONFIRMED_SUBMISSIONS:
+            del self.unconfirmed[next(iter(self.unconfirmed))]
 
-    def _full(self) -> bool:
+    def _at_capacity(self) -> bool:
         limits = self.settings.deferred
         folds = [part.fold for part in self.partitions.values()]
-        still_open = sum(fold.open_count for fold in folds)
-        kept = sum(len(fold.tickets) for fold in folds)
-        return still_open >= limits.max_open or kept >= limits.max_kept
+        open_tickets = sum(fold.open_count for fold in folds)
+        stored_tickets = sum(len(fold.tickets) for fold in folds)
+        return (
+            open_tickets >= limits.max_open or stored_tickets >= limits.max_kept
+        )
 
     def _refuse_full(self) -> Refusal:
         return refuse(
@@ -203,7 +209,7 @@
             self._retry_at(),
         )
 
-    def _refuse_log(self) -> Refusal:
+    def _refuse_log_unavailable(self) -> Refusal:
         return refuse(
             RefusalReason.LOG_UNAVAILABLE,
             "The log can't be reached, so the request was not kept.",
@@ -215,7 +221,7 @@
         return Deadline(self.clock.now() + seconds)
 
 
-def over(ticket: Ticket, clock: Clock) -> bool:
+def result_expired(ticket: Ticket, clock: Clock) -> bool:
     """Return whether a ticket has ended and its result has expired."""
     return ticket.end is not None and ticket.end.keep_until <= clock.wall()
 
@@ -234,7 +240,7 @@
     return b"".join(parts)
 
 
-def _refuse_doubt(ticket: TicketId) -> TicketRefusal:
+def _refuse_in_doubt(ticket: TicketId) -> TicketRefusal:
     rule = refuse(RefusalReason.TICKET_IN_DOUBT, "")
     return TicketRefusal(
         reason=rule.reason,
