--- a/agatetack/deferred/choice.py
+++ b/agatetack/deferred/host_ranking.py
@@ -25,7 +25,7 @@
     return sum(score(ticket, other) > own for other in others)
 
 
-class Choice:
+class HostRanking:
     """This host's view of which live host should run which ticket.
 
     The views of two hosts may differ without harm: the order of the log
@@ -54,15 +54,15 @@
         """Return how many live peers rank ahead of this host."""
         return rank_of(ticket, self.host, self.others)
 
-    def gone_since(self, host: HostId) -> Deadline | None:
+    def presumed_dead_since(self, host: HostId) -> Deadline | None:
         """Return since when a host is presumed dead, or None if it isn't.
 
         A host is presumed dead once it has been seen alive and then not for
         `takeover_seconds`. A host that was never seen may only be unreachable
         from here, so its tickets are taken over only when its hold expires.
         """
-        seen = self.last_seen.get(host)
-        if seen is None or host in self.others:
+        last_seen_at = self.last_seen.get(host)
+        if last_seen_at is None or host in self.others:
             return None
-        gone_at = Deadline(seen + self.takeover_seconds)
-        return gone_at if gone_at <= self.clock.now() else None
+        dead_since = Deadline(last_seen_at + self.takeover_seconds)
+        return dead_since if dead_since <= self.clock.now() else None
--- a/agatetack/deferred/log_queue.py
+++ b/agatetack/deferred/log_queue.py
@@ -7,9 +7,9 @@
 
 from agatetack.clock import Clock
 from agatetack.config.route import Route, RouteSource
-from agatetack.deferred.choice import Choice
 from agatetack.deferred.counters import Counters
 from agatetack.deferred.fetcher import Fetcher
+from agatetack.deferred.host_ranking import HostRanking
 from agatetack.deferred.partition import Partition
 from agatetack.deferred.queue import (
     DeferredQueue,
@@ -78,14 +78,14 @@
         self.clock = SteadyClock(clock)
         self.counters = Counters(metrics)
         self.metrics = metrics
-        self.choice = Choice(settings, exchange, self.clock)
+        self.ranking = HostRanking(settings, exchange, self.clock)
         pacer = Pacer(settings, self.clock)
         self.partitions = {
             number: Partition(number, settings, log, pacer, metrics, self.clock)
             for number in range(settings.deferred.partitions)
         }
         self.schedule = Schedule(
-            settings, self.partitions, self.choice, source, self.clock
+            settings, self.partitions, self.ranking, source, self.clock
         )
         self.submitter = Submitter(
             settings,
@@ -111,14 +111,14 @@
         self, task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED
     ) -> None:
         """Follow the log and run tickets until cancelled."""
-        self.choice.refresh()
+        self.ranking.refresh()
         async with trio.open_nursery() as nursery:
             for partition in self.partitions.values():
                 partition.on_open = self.schedule.add
                 upkeep = Upkeep(
                     self.settings,
                     partition,
-                    self.choice,
+                    self.ranking,
                     self.counters,
                     self.clock,
                     self.entropy,
@@ -155,7 +155,7 @@
     async def _refresh(self) -> None:
         """Update the set of live peers and the gauges periodically."""
         while True:
-            self.choice.refresh()
+            self.ranking.refresh()
             folds = [part.fold for part in self.partitions.values()]
             open_tickets = sum(fold.open_count for fold in folds)
             known = sum(len(fold.tickets) for fold in folds)
--- a/agatetack/deferred/schedule.py
+++ b/agatetack/deferred/schedule.py
@@ -8,8 +8,8 @@
 
 from agatetack.clock import Clock, wall_to_deadline
 from agatetack.config.route import RouteSource
-from agatetack.deferred.choice import Choice
 from agatetack.deferred.fold import Ticket
+from agatetack.deferred.host_ranking import HostRanking
 from agatetack.deferred.partition import Partition
 from agatetack.ids import Deadline, RouteId, TicketId
 from agatetack.settings.model import Settings
@@ -35,14 +35,14 @@
         self,
         settings: Settings,
         partitions: Mapping[int, Partition],
-        choice: Choice,
+        ranking: HostRanking,
         source: RouteSource,
         clock: Clock,
     ):
         """Schedule the tickets of `partitions`."""
         self.settings = settings
         self.partitions = partitions
-        self.choice = choice
+        self.ranking = ranking
         self.source = source
         self.clock = clock
         self.own: collections.deque[TicketId] = collections.deque()
@@ -122,7 +122,7 @@
             due = self._due(ticket)
             if due > now:
                 heapq.heappush(self.later, (due, ticket_id))
-            elif self.choice.rank(ticket_id) == 0:
+            elif self.ranking.rank(ticket_id) == 0:
                 self.own.append(ticket_id)
             else:
                 self.others.append(ticket_id)
@@ -157,14 +157,18 @@
         since = wall_to_deadline(self.clock, ticket.submitted_at)
         hold = ticket.hold
         if hold is not None:
-            if hold.host == self.choice.host:
+            if hold.host == self.ranking.host:
                 # A hold of this host that isn't running, maybe from before a
                 # restart.
                 return now
-            lapse = wall_to_deadline(self.clock, hold.until)
-            gone = self.choice.gone_since(hold.host)
-            if lapse > now and gone is None:
-                return Deadline(min(lapse, now + takeover))
-            since = lapse if gone is None else min(lapse, gone)
-        rank = self.choice.rank(ticket.id)
+            hold_expires = wall_to_deadline(self.clock, hold.until)
+            dead_since = self.ranking.presumed_dead_since(hold.host)
+            if hold_expires > now and dead_since is None:
+                return Deadline(min(hold_expires, now + takeover))
+            since = (
+                hold_expires
+                if dead_since is None
+                else min(hold_expires, dead_since)
+            )
+        rank = self.ranking.rank(ticket.id)
         return Deadline(since + rank * takeover)
--- a/agatetack/deferred/test_upkeep.py
+++ b/agatetack/deferred/test_upkeep.py
@@ -4,7 +4,7 @@
 import trio
 
 from agatetack.clock import FixedClock
-from agatetack.deferred.choice import rank_of
+from agatetack.deferred.host_ranking import rank_of
 from agatetack.deferred.steady import SteadyClock
 from agatetack.ids import HostId, TicketId
 from agatetack.testing.deferred_fleet import (
--- a/agatetack/deferred/upkeep.py
+++ b/agatetack/deferred/upkeep.py
@@ -6,10 +6,10 @@
 import trio
 
 from agatetack.clock import Clock
-from agatetack.deferred.choice import Choice, score
 from agatetack.deferred.counters import Counters
 from agatetack.deferred.ends import make_end
 from agatetack.deferred.fold import NOT_STORED, Ticket
+from agatetack.deferred.host_ranking import HostRanking, score
 from agatetack.deferred.partition import NotKept, Partition
 from agatetack.deferred.records import new_attempt
 from agatetack.deferred.writer import AppendOutcome, PendingEntry
@@ -54,7 +54,7 @@
         self,
         settings: Settings,
         partition: Partition,
-        choice: Choice,
+        ranking: HostRanking,
         counters: Counters,
         clock: Clock,
         entropy: random.Random,
@@ -62,7 +62,7 @@
         """Maintain the tickets of `partition`."""
         self.settings = settings
         self.partition = partition
-        self.choice = choice
+        self.ranking = ranking
         self.counters = counters
         self.clock = clock
         self.entropy = entropy
@@ -122,7 +122,7 @@
         """
         retention = self.settings.platform.log.retention_seconds
         step = _kept_since(ticket) // (STAGGER_RATIO * retention)
-        weight = score(ticket.id, self.choice.host)
+        weight = score(ticket.id, self.ranking.host)
         return step, -int.from_bytes(weight, "big")
 
     def _due_among(self, tickets: list[Ticket]) -> list[Ticket]:
@@ -244,7 +244,7 @@
         now = self.clock.wall()
         if ticket.deadline > now:
             return False
-        return ticket.deadline + self.choice.rank(ticket.id) * takeover <= now
+        return ticket.deadline + self.ranking.rank(ticket.id) * takeover <= now
 
     def _due(self, ticket: Ticket) -> bool:
         """Return whether a ticket's records must be appended again."""
@@ -257,7 +257,7 @@
             return False
         if not self.ranked:
             return True
-        staggers = min(self.choice.rank(ticket.id), MAX_STAGGERS)
+        staggers = min(self.ranking.rank(ticket.id), MAX_STAGGERS)
         share = DUE_RATIO + staggers * STAGGER_RATIO
         return kept_since + share * retention <= now
 
--- a/bench/deferred_slopes.py
+++ b/bench/deferred_slopes.py
@@ -128,7 +128,7 @@
     upkeep = Upkeep(
         queue.settings,
         partition,
-        queue.choice,
+        queue.ranking,
         queue.counters,
         queue.clock,
         queue.entropy,
