--- a/agatetack/deferred/log_queue.py
+++ b/agatetack/deferred/log_queue.py
@@ -133,7 +133,7 @@
 
     async def drain(self) -> None:
         """Start no more tickets; wait until the running ones are recorded."""
-        self.schedule.closed = True
+        self.schedule.draining = True
         while self.schedule.running:
             await trio.sleep(REFRESH_SECONDS / 10)
 
--- a/agatetack/deferred/runner.py
+++ b/agatetack/deferred/runner.py
@@ -14,7 +14,7 @@
 from agatetack.deferred.partition import NotKept, Partition
 from agatetack.deferred.queue import Executor
 from agatetack.deferred.records import load_request, new_attempt
-from agatetack.deferred.schedule import LATER_SECONDS, Schedule
+from agatetack.deferred.schedule import RECHECK_SECONDS, Schedule
 from agatetack.deferred.verdict import Next, Verdict, run_once
 from agatetack.deferred.writer import AppendOutcome
 from agatetack.generated.deferred.ttypes import (
@@ -94,7 +94,7 @@
                 self.schedule.done(ticket.id, ran.again_at)
 
     async def _run_guarded(self, ticket: Ticket) -> Ran:
-        again_at = self._in(LATER_SECONDS)
+        again_at = self._in(RECHECK_SECONDS)
         try:
             return await self._run(ticket)
         except (NotKept, LogUnavailable):
@@ -110,7 +110,7 @@
         partition = self.schedule.partition_of(ticket.id)
         hold = await self._take_hold(partition, ticket)
         if hold is None:
-            return Ran(self._in(LATER_SECONDS))
+            return Ran(self._in(RECHECK_SECONDS))
         if hold.tries > self.settings.deferred.max_tries:
             verdict = Verdict(Next.FAIL, RefusalReason.CONNECTION_LOST)
         else:
--- a/agatetack/deferred/schedule.py
+++ b/agatetack/deferred/schedule.py
@@ -14,7 +14,7 @@
 from agatetack.ids import Deadline, RouteId, TicketId
 from agatetack.settings.model import Settings
 
-LATER_SECONDS = 1.0
+RECHECK_SECONDS = 1.0
 """Delay before a ticket that can't be run now is checked again."""
 
 
@@ -22,13 +22,13 @@
     """Open tickets, ordered by when this host may run them.
 
     Attributes:
-        own: Tickets that are ready and for which this host ranks first.
-        others: Ready tickets that higher-ranked hosts did not take in time.
-        later: A heap of tickets with the time of their next check.
-        queued: All tickets in `own`, `others` and `later`.
+        preferred: Tickets that are ready and for which this host ranks first.
+        fallback: Ready tickets that higher-ranked hosts did not take in time.
+        delayed: A heap of tickets with the time of their next check.
+        queued: All tickets in `preferred`, `fallback` and `delayed`.
         running: Tickets that this host is working on.
-        pauses: For each paused route, when it may be tried again.
-        closed: Whether `take` returns no more tickets.
+        paused_until: For each paused route, when it may be tried again.
+        draining: Whether `take` returns no more tickets.
     """
 
     def __init__(
@@ -45,13 +45,13 @@
         self.ranking = ranking
         self.source = source
         self.clock = clock
-        self.own: collections.deque[TicketId] = collections.deque()
-        self.others: collections.deque[TicketId] = collections.deque()
-        self.later: list[tuple[Deadline, TicketId]] = []
+        self.preferred: collections.deque[TicketId] = collections.deque()
+        self.fallback: collections.deque[TicketId] = collections.deque()
+        self.delayed: list[tuple[Deadline, TicketId]] = []
         self.queued: set[TicketId] = set()
         self.running: set[TicketId] = set()
-        self.pauses: dict[RouteId, Deadline] = {}
-        self.closed = False
+        self.paused_until: dict[RouteId, Deadline] = {}
+        self.draining = False
         self.wake = trio.Event()
 
     def add(self, ticket: TicketId, at: Deadline | None = None) -> None:
@@ -59,7 +59,7 @@
         if ticket in self.queued or ticket in self.running:
             return
         self.queued.add(ticket)
-        heapq.heappush(self.later, (at or self.clock.now(), ticket))
+        heapq.heappush(self.delayed, (at or self.clock.now(), ticket))
         self.wake.set()
 
     def done(self, ticket: TicketId, again_at: Deadline | None) -> None:
@@ -70,17 +70,17 @@
 
     def pause(self, route: RouteId, until: Deadline) -> None:
         """Run no ticket of a route before `until`."""
-        self.pauses[route] = until
+        self.paused_until[route] = until
 
     async def take(self) -> Ticket:
         """Wait for the next ticket; it counts as running until `done`."""
         while True:
-            ticket = None if self.closed else self._pop()
+            ticket = None if self.draining else self._next_ready()
             if ticket is not None:
                 return ticket
-            until = self.clock.now() + LATER_SECONDS
-            if self.later and not self.closed:
-                until = min(until, self.later[0][0])
+            until = self.clock.now() + RECHECK_SECONDS
+            if self.delayed and not self.draining:
+                until = min(until, self.delayed[0][0])
             if self.wake.is_set():
                 self.wake = trio.Event()
             with trio.move_on_at(until):
@@ -94,40 +94,40 @@
         """Return the state of a ticket, or None if it is unknown."""
         return self.partition_of(ticket).get(ticket)
 
-    def _pop(self) -> Ticket | None:
-        self._sort_due()
-        for queue in (self.own, self.others):
+    def _next_ready(self) -> Ticket | None:
+        self._enqueue_ready()
+        for queue in (self.preferred, self.fallback):
             while queue:
                 ticket_id = queue.popleft()
                 self.queued.discard(ticket_id)
                 ticket = self.find(ticket_id)
                 if ticket is None or not ticket.open:
                     continue
-                due = self._due(ticket)
-                if due <= self.clock.now():
+                runnable_at = self._runnable_at(ticket)
+                if runnable_at <= self.clock.now():
                     self.running.add(ticket_id)
                     return ticket
-                self.add(ticket_id, due)
+                self.add(ticket_id, runnable_at)
         return None
 
-    def _sort_due(self) -> None:
-        """Move tickets that may run now from `later` to `own` or `others`."""
+    def _enqueue_ready(self) -> None:
+        """Move tickets that may run now to `preferred` or `fallback`."""
         now = self.clock.now()
-        while self.later and self.later[0][0] <= now:
-            _, ticket_id = heapq.heappop(self.later)
+        while self.delayed and self.delayed[0][0] <= now:
+            _, ticket_id = heapq.heappop(self.delayed)
             ticket = self.find(ticket_id)
             if ticket is None or not ticket.open:
                 self.queued.discard(ticket_id)
                 continue
-            due = self._due(ticket)
-            if due > now:
-                heapq.heappush(self.later, (due, ticket_id))
+            runnable_at = self._runnable_at(ticket)
+            if runnable_at > now:
+                heapq.heappush(self.delayed, (runnable_at, ticket_id))
             elif self.ranking.rank(ticket_id) == 0:
-                self.own.append(ticket_id)
+                self.preferred.append(ticket_id)
             else:
-                self.others.append(ticket_id)
+                self.fallback.append(ticket_id)
 
-    def _due(self, ticket: Ticket) -> Deadline:
+    def _runnable_at(self, ticket: Ticket) -> Deadline:
         """Return when this host may run a ticket, judging by current state."""
         now = self.clock.now()
         partition = self.partition_of(ticket.id)
@@ -138,16 +138,16 @@
             or ticket.route not in table.routes
             or partition.fold.primary(ticket) is not ticket
         ):
-            return Deadline(now + LATER_SECONDS)
+            return Deadline(now + RECHECK_SECONDS)
         if ticket.deadline <= self.clock.wall():
             # The upkeep task records that it has expired.
-            return Deadline(now + LATER_SECONDS)
-        paused = self.pauses.get(ticket.route, now)
-        if paused > now:
-            return paused
-        return self._turn(ticket)
+            return Deadline(now + RECHECK_SECONDS)
+        route_paused_until = self.paused_until.get(ticket.route, now)
+        if route_paused_until > now:
+            return route_paused_until
+        return self._turn_starts_at(ticket)
 
-    def _turn(self, ticket: Ticket) -> Deadline:
+    def _turn_starts_at(self, ticket: Ticket) -> Deadline:
         """Return when this host may run a ticket, by its rank among live hosts.
 
         Each higher-ranked host delays it by another `takeover_seconds`.
