--- a/agatetack/deferred/runner.py
+++ b/agatetack/deferred/runner.py
@@ -15,7 +15,7 @@
 from agatetack.deferred.queue import Executor
 from agatetack.deferred.records import load_request, new_attempt
 from agatetack.deferred.schedule import RECHECK_SECONDS, Schedule
-from agatetack.deferred.verdict import Next, Verdict, run_once
+from agatetack.deferred.verdict import NextStep, Verdict, run_once
 from agatetack.deferred.writer import AppendOutcome
 from agatetack.generated.deferred.ttypes import (
     EndChunk,
@@ -29,14 +29,14 @@
 from agatetack.record_log.log import LogUnavailable
 from agatetack.settings.model import Settings
 
-HOLD_TIMEOUTS = 2
+HOLD_TIMEOUT_RATIO = 2
 """How long a hold lasts, as a multiple of the attempt timeout."""
 
-MAX_DOUBLINGS = 6
+MAX_BACKOFF_DOUBLINGS = 6
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Ran:
+class RunResult:
     """What remains to be done after a run.
 
     Attributes:
@@ -86,44 +86,46 @@
         while True:
             async with self.slots:
                 ticket = await self.schedule.take()
-                ran = await self._run_guarded(ticket)
+                run_result = await self._run_guarded(ticket)
             try:
-                if ran.end:
-                    await self.record_end(ticket, ran.end)
+                if run_result.end:
+                    await self.record_end(ticket, run_result.end)
             finally:
-                self.schedule.done(ticket.id, ran.again_at)
+                self.schedule.done(ticket.id, run_result.again_at)
 
-    async def _run_guarded(self, ticket: Ticket) -> Ran:
-        again_at = self._in(RECHECK_SECONDS)
+    async def _run_guarded(self, ticket: Ticket) -> RunResult:
+        again_at = self._deadline_in(RECHECK_SECONDS)
         try:
             return await self._run(ticket)
         except (NotKept, LogUnavailable):
             # Its record was re-appended elsewhere or can't be read now; retry.
             self.counters.run("not-loaded")
-            return Ran(again_at)
+            return RunResult(again_at)
         except BaseException:
             self.schedule.done(ticket.id, again_at)
             raise
 
-    async def _run(self, ticket: Ticket) -> Ran:
+    async def _run(self, ticket: Ticket) -> RunResult:
         """Run a ticket once if this host obtains the hold."""
         partition = self.schedule.partition_of(ticket.id)
-        hold = await self._take_hold(partition, ticket)
+        hold = await self._acquire_hold(partition, ticket)
         if hold is None:
-            return Ran(self._in(RECHECK_SECONDS))
+            return RunResult(self._deadline_in(RECHECK_SECONDS))
         if hold.tries > self.settings.deferred.max_tries:
-            verdict = Verdict(Next.FAIL, RefusalReason.CONNECTION_LOST)
+            verdict = Verdict(NextStep.FAIL, RefusalReason.CONNECTION_LOST)
         else:
             verdict = await self._attempt(partition, ticket, hold)
         self.counters.run(verdict.next.value)
-        if verdict.next is Next.NOT_RUN:
-            await self._release(partition, ticket, hold)
-            return Ran(self._pause(ticket.route))
+        if verdict.next is NextStep.NOT_RUN:
+            await self._release_hold(partition, ticket, hold)
+            return RunResult(self._pause_route(ticket.route))
         self.refusals.pop(ticket.route, None)
-        last = hold.tries >= self.settings.deferred.max_tries
-        if verdict.next is Next.TRY_AGAIN and not last:
-            return Ran(self._in(self._backoff(hold.tries)))
-        return Ran(None, self._make_end(ticket, hold, verdict))
+        is_last_try = hold.tries >= self.settings.deferred.max_tries
+        if verdict.next is NextStep.TRY_AGAIN and not is_last_try:
+            return RunResult(
+                self._deadline_in(self._backoff_seconds(hold.tries))
+            )
+        return RunResult(None, self._make_end(ticket, hold, verdict))
 
     async def _attempt(
         self, partition: Partition, ticket: Ticket, hold: Hold
@@ -131,15 +133,15 @@
         table = self.source.table
         route = None if table is None else table.routes.get(ticket.route)
         if route is None:
-            return Verdict(Next.NOT_RUN, RefusalReason.NO_ROUTE)
+            return Verdict(NextStep.NOT_RUN, RefusalReason.NO_ROUTE)
         submission = await partition.load_submission(ticket)
         seconds = self.settings.deferred.attempt_timeout_seconds
         end = wall_to_deadline(self.clock, ticket.deadline)
-        deadline = min(end, self._in(seconds))
+        deadline = min(end, self._deadline_in(seconds))
         request = load_request(submission, deadline, self.clock)
         return await run_once(self.executor, route, request, self.settings)
 
-    async def _take_hold(
+    async def _acquire_hold(
         self, partition: Partition, ticket: Ticket
     ) -> Hold | None:
         """Return this host's hold once it is read back, or None.
@@ -153,9 +155,9 @@
         outcome = await partition.writer.write(entry)
         if outcome is AppendOutcome.REFUSED:
             return None
-        until = self._in(self.settings.platform.log.timeout_seconds)
+        until = self._deadline_in(self.settings.platform.log.timeout_seconds)
         await partition.wait_for(
-            ticket.id, lambda known: _answers(known, record), until
+            ticket.id, lambda known: _hold_is_settled(known, record), until
         )
         known = partition.get(ticket.id)
         if known is None or not known.open or known.hold is None:
@@ -166,18 +168,18 @@
         return known.hold
 
     def _next_hold(self, ticket: Ticket) -> HoldRecord:
-        old = ticket.hold
+        previous = ticket.hold
         seconds = self.settings.deferred.attempt_timeout_seconds
         host = HostId(self.settings.host.id)
         return HoldRecord(
-            number=1 if old is None else old.number + 1,
+            number=1 if previous is None else previous.number + 1,
             attempt=new_attempt(host, self.entropy),
             host=host,
-            until=self.clock.wall() + HOLD_TIMEOUTS * seconds,
-            tries=1 if old is None else old.tries + 1,
+            until=self.clock.wall() + HOLD_TIMEOUT_RATIO * seconds,
+            tries=1 if previous is None else previous.tries + 1,
         )
 
-    async def _release(
+    async def _release_hold(
         self, partition: Partition, ticket: Ticket, hold: Hold
     ) -> None:
         """Record that the attempt did not run, so that it isn't counted.
@@ -200,7 +202,7 @@
         """Return the chunks that record how a ticket ended."""
         keep = self.clock.wall() + self.settings.deferred.result_keep_seconds
         reason = verdict.reason
-        if verdict.next is Next.ANSWER and verdict.answer is not None:
+        if verdict.next is NextStep.ANSWER and verdict.answer is not None:
             chunks = split_answer(
                 ticket, hold.attempt, verdict.answer, keep, self.settings
             )
@@ -225,7 +227,9 @@
                 await partition.writer.write(Entry(end=chunk))
                 for chunk in chunks
             ]
-            until = self._in(self.settings.platform.log.timeout_seconds)
+            until = self._deadline_in(
+                self.settings.platform.log.timeout_seconds
+            )
             if AppendOutcome.REFUSED not in outcomes:
                 known = await partition.wait_for(
                     ticket.id, lambda known: known.end is not None, until
@@ -238,24 +242,24 @@
             self.counters.run("end-not-recorded")
             await trio.sleep(pause)
 
-    def _pause(self, route: RouteId) -> Deadline:
+    def _pause_route(self, route: RouteId) -> Deadline:
         """Pause a route after a refusal, with exponential backoff."""
         refusals = self.refusals.get(route, 0) + 1
         self.refusals[route] = refusals
-        until = self._in(self._backoff(refusals))
+        until = self._deadline_in(self._backoff_seconds(refusals))
         self.schedule.pause(route, until)
         return until
 
-    def _backoff(self, count: int) -> float:
+    def _backoff_seconds(self, count: int) -> float:
         """Return the seconds to wait after the `count`-th failure."""
-        doublings = min(count - 1, MAX_DOUBLINGS)
+        doublings = min(count - 1, MAX_BACKOFF_DOUBLINGS)
         return self.settings.deferred.retry_seconds * 2**doublings
 
-    def _in(self, seconds: float) -> Deadline:
+    def _deadline_in(self, seconds: float) -> Deadline:
         return Deadline(self.clock.now() + seconds)
 
 
-def _answers(ticket: Ticket, record: HoldRecord) -> bool:
+def _hold_is_settled(ticket: Ticket, record: HoldRecord) -> bool:
     """Return whether it is known if the hold of `record` was obtained."""
     if ticket.end is not None:
         return True
--- a/agatetack/deferred/test_verdict.py
+++ b/agatetack/deferred/test_verdict.py
@@ -4,7 +4,7 @@
 import trio
 
 from agatetack.deferred.queue import Executor
-from agatetack.deferred.verdict import Next, Verdict, run_once
+from agatetack.deferred.verdict import NextStep, Verdict, run_once
 from agatetack.messages import Answer, AnswerCut, Body, BytesBody, Header
 from agatetack.outcomes import Outcome, RefusalReason, refuse
 from agatetack.settings.defaults import default_settings
@@ -55,60 +55,60 @@
 @pytest.mark.parametrize(
     ("result", "next_step", "reason"),
     [
-        (answer(b"0123456789"), Next.ANSWER, None),
-        (answer(b"", status=503), Next.ANSWER, None),
+        (answer(b"0123456789"), NextStep.ANSWER, None),
+        (answer(b"", status=503), NextStep.ANSWER, None),
         (
             answer(b"", headers=[Header(b"x-outcome", b"answered")]),
-            Next.ANSWER,
+            NextStep.ANSWER,
             None,
         ),
-        (answer(b"01234567890"), Next.FAIL, RefusalReason.RESULT_TOO_LARGE),
+        (answer(b"01234567890"), NextStep.FAIL, RefusalReason.RESULT_TOO_LARGE),
         (
             Answer(200, [], CutBody()),
-            Next.TRY_AGAIN,
+            NextStep.TRY_AGAIN,
             RefusalReason.ANSWER_CUT,
         ),
         (
             refusal_answer(refuse(RefusalReason.NO_TARGET, "")),
-            Next.NOT_RUN,
+            NextStep.NOT_RUN,
             RefusalReason.NO_TARGET,
         ),
         (
             refusal_answer(refuse(RefusalReason.CONNECTION_LOST, "")),
-            Next.TRY_AGAIN,
+            NextStep.TRY_AGAIN,
             RefusalReason.CONNECTION_LOST,
         ),
         (
             refusal_answer(refuse(RefusalReason.HEADERS_TOO_LARGE, "")),
-            Next.FAIL,
+            NextStep.FAIL,
             RefusalReason.HEADERS_TOO_LARGE,
         ),
         (
             answer(b"", headers=[Header(b"x-outcome", b"\xff")]),
-            Next.TRY_AGAIN,
+            NextStep.TRY_AGAIN,
             RefusalReason.INTERNAL_ERROR,
         ),
         (
             failed(RefusalReason.CONNECT_FAILED, Outcome.NOT_RUN),
-            Next.NOT_RUN,
+            NextStep.NOT_RUN,
             RefusalReason.CONNECT_FAILED,
         ),
         (
             failed(RefusalReason.ANSWER_TIMEOUT, Outcome.UNKNOWN),
-            Next.TRY_AGAIN,
+            NextStep.TRY_AGAIN,
             RefusalReason.ANSWER_TIMEOUT,
         ),
         (
             ValueError("scripted"),
-            Next.TRY_AGAIN,
+            NextStep.TRY_AGAIN,
             RefusalReason.INTERNAL_ERROR,
         ),
-        (None, Next.TRY_AGAIN, RefusalReason.ANSWER_TIMEOUT),
+        (None, NextStep.TRY_AGAIN, RefusalReason.ANSWER_TIMEOUT),
     ],
 )
 async def test_verdict(autojump_clock, result, next_step, reason):
     request = make_request(1, seconds=5)
     verdict = await run_once(OneExecutor(result), ROUTE, request, SETTINGS)
     assert (verdict.next, verdict.reason) == (next_step, reason)
-    assert (verdict.answer is not None) == (next_step is Next.ANSWER)
+    assert (verdict.answer is not None) == (next_step is NextStep.ANSWER)
     assert isinstance(verdict, Verdict)
--- a/agatetack/deferred/upkeep.py
+++ b/agatetack/deferred/upkeep.py
@@ -27,7 +27,7 @@
 """Extra wait of each lower-ranked host, as a share of the retention."""
 
 MAX_STAGGERS = 10
-MAX_DOUBLINGS = 6
+MAX_BACKOFF_DOUBLINGS = 6
 SLICE = 2000
 """Tickets that are checked before other tasks may run."""
 
@@ -92,7 +92,9 @@
         limits = self.settings.deferred
         if not self.failures:
             return limits.upkeep_seconds
-        pause = limits.retry_seconds * 2 ** min(self.failures, MAX_DOUBLINGS)
+        pause = limits.retry_seconds * 2 ** min(
+            self.failures, MAX_BACKOFF_DOUBLINGS
+        )
         return min(pause, limits.upkeep_seconds)
 
     async def look_through(self) -> bool:
--- a/agatetack/deferred/verdict.py
+++ b/agatetack/deferred/verdict.py
@@ -33,7 +33,7 @@
 """Refusals that a retry would only repeat."""
 
 
-class Next(enum.Enum):
+class NextStep(enum.Enum):
     """What to do with a ticket after an attempt."""
 
     ANSWER = "answered"
@@ -52,7 +52,7 @@
         answer: The answer, or None.
     """
 
-    next: Next
+    next: NextStep
     reason: RefusalReason | None = None
     answer: StoredAnswer | None = None
 
@@ -61,44 +61,46 @@
     executor: Executor, route: Route, request: CallerRequest, settings: Settings
 ) -> Verdict:
     """Run a request until its deadline at most and classify the outcome."""
-    verdict = Verdict(Next.TRY_AGAIN, RefusalReason.ANSWER_TIMEOUT)
+    verdict = Verdict(NextStep.TRY_AGAIN, RefusalReason.ANSWER_TIMEOUT)
     with trio.move_on_at(request.deadline):
         try:
             answer = await executor.execute(route, request)
-            verdict = await _judge(answer, settings)
+            verdict = await _classify_answer(answer, settings)
         except AttemptFailed as error:
             failure = error.failure
-            verdict = _judge_failure(failure.reason, failure.outcome)
+            verdict = _classify_failure(failure.reason, failure.outcome)
         except AnswerCut:
-            verdict = Verdict(Next.TRY_AGAIN, RefusalReason.ANSWER_CUT)
+            verdict = Verdict(NextStep.TRY_AGAIN, RefusalReason.ANSWER_CUT)
         # An executor may raise any exception; the ticket must not be lost.
         except Exception as error:
             LOG.request(request.request_id, "An attempt raised %r.", error)
-            verdict = Verdict(Next.TRY_AGAIN, RefusalReason.INTERNAL_ERROR)
+            verdict = Verdict(NextStep.TRY_AGAIN, RefusalReason.INTERNAL_ERROR)
     return verdict
 
 
-async def _judge(answer: Answer, settings: Settings) -> Verdict:
+async def _classify_answer(answer: Answer, settings: Settings) -> Verdict:
     names = settings.callers.headers
-    told = find_header(answer.headers, names.outcome.encode())
-    if told not in (None, Outcome.ANSWERED.value.encode()):
+    reported_outcome = find_header(answer.headers, names.outcome.encode())
+    if reported_outcome not in (None, Outcome.ANSWERED.value.encode()):
         await answer.aclose()
         reason = find_header(answer.headers, names.reason.encode())
-        return _judge_failure(_parse_reason(reason), _parse_outcome(told))
+        return _classify_failure(
+            _parse_reason(reason), _parse_outcome(reported_outcome)
+        )
     body = await _read_result(answer, settings.deferred.max_result_bytes)
     if body is None:
-        return Verdict(Next.FAIL, RefusalReason.RESULT_TOO_LARGE)
+        return Verdict(NextStep.FAIL, RefusalReason.RESULT_TOO_LARGE)
     headers = tuple(Header(name, value) for name, value in answer.headers)
     stored = StoredAnswer(answer.status, headers, body)
-    return Verdict(Next.ANSWER, None, stored)
+    return Verdict(NextStep.ANSWER, None, stored)
 
 
-def _judge_failure(reason: RefusalReason, outcome: Outcome) -> Verdict:
+def _classify_failure(reason: RefusalReason, outcome: Outcome) -> Verdict:
     if reason in FINAL_REASONS:
-        return Verdict(Next.FAIL, reason)
+        return Verdict(NextStep.FAIL, reason)
     if outcome is Outcome.NOT_RUN:
-        return Verdict(Next.NOT_RUN, reason)
-    return Verdict(Next.TRY_AGAIN, reason)
+        return Verdict(NextStep.NOT_RUN, reason)
+    return Verdict(NextStep.TRY_AGAIN, reason)
 
 
 def _parse_reason(value: bytes | None) -> RefusalReason:
