--- a/agatetack/deferred/counters.py
+++ b/agatetack/deferred/counters.py
@@ -16,11 +16,11 @@
             "agatetack_deferred_runs_total",
             "Attempts at tickets by this host, by result.",
         )
-        self.kept = metrics.counter(
+        self.reappended_records = metrics.counter(
             "agatetack_deferred_reappended_total",
             "Records appended again before retention, by kind.",
         )
-        self.looks = metrics.counter(
+        self.scans = metrics.counter(
             "agatetack_deferred_looks_total",
             "Looks through the tickets of a partition, by whether copies "
             "waited for hosts that go first.",
@@ -46,4 +46,4 @@
 
     def reappended(self, kind: str) -> None:
         """Count a record appended again."""
-        self.kept.inc({"kind": kind})
+        self.reappended_records.inc({"kind": kind})
--- a/agatetack/deferred/log_queue.py
+++ b/agatetack/deferred/log_queue.py
@@ -10,6 +10,7 @@
 from agatetack.deferred.counters import Counters
 from agatetack.deferred.fetcher import Fetcher
 from agatetack.deferred.host_ranking import HostRanking
+from agatetack.deferred.maintenance import TicketMaintenance
 from agatetack.deferred.partition import Partition
 from agatetack.deferred.queue import (
     DeferredQueue,
@@ -21,7 +22,6 @@
 from agatetack.deferred.schedule import Schedule
 from agatetack.deferred.steady import SteadyClock
 from agatetack.deferred.submitter import Submitter
-from agatetack.deferred.upkeep import Upkeep
 from agatetack.deferred.writer import Pacer
 from agatetack.ids import Deadline, TicketId
 from agatetack.messages import CallerRequest
@@ -115,7 +115,7 @@
         async with trio.open_nursery() as nursery:
             for partition in self.partitions.values():
                 partition.on_open = self.schedule.add
-                upkeep = Upkeep(
+                maintenance = TicketMaintenance(
                     self.settings,
                     partition,
                     self.ranking,
@@ -125,7 +125,7 @@
                 )
                 nursery.start_soon(partition.run)
                 nursery.start_soon(partition.writer.run)
-                nursery.start_soon(upkeep.run)
+                nursery.start_soon(maintenance.run)
             for _ in range(WORKERS * self.settings.deferred.concurrency):
                 nursery.start_soon(self.runner.work)
             nursery.start_soon(self._refresh)
--- a/agatetack/deferred/upkeep.py
+++ b/agatetack/deferred/maintenance.py
@@ -20,7 +20,7 @@
 from agatetack.record_log.log import LogUnavailable
 from agatetack.settings.model import Settings
 
-DUE_RATIO = 0.5
+REAPPEND_AGE_RATIO = 0.5
 """Age at which a record is re-appended, as a share of the retention."""
 
 STAGGER_RATIO = 0.02
@@ -28,17 +28,17 @@
 
 MAX_STAGGERS = 10
 MAX_BACKOFF_DOUBLINGS = 6
-SLICE = 2000
+SLICE_TICKETS = 2000
 """Tickets that are checked before other tasks may run."""
 
-GROUP = 100
+GROUP_TICKETS = 100
 """Tickets whose records are queued for append together."""
 
-KEPT = (AppendOutcome.LANDED, AppendOutcome.NEEDLESS)
+STORED_OUTCOMES = (AppendOutcome.LANDED, AppendOutcome.NEEDLESS)
 """Append outcomes after which the ticket is safely in the log."""
 
 
-class Upkeep:
+class TicketMaintenance:
     """Periodically maintains the tickets of one partition.
 
     Waiting by rank spreads re-appends over long-running hosts. A host that
@@ -46,7 +46,8 @@
     running before, or how long it will run itself, so it doesn't wait.
 
     Attributes:
-        ranked: Whether re-appends wait for hosts that rank ahead of this one.
+        wait_by_rank: Whether re-appends wait for hosts that rank ahead of
+            this one.
         failures: Consecutive scans that could not append all that was due.
     """
 
@@ -66,7 +67,7 @@
         self.counters = counters
         self.clock = clock
         self.entropy = entropy
-        self.ranked = False
+        self.wait_by_rank = False
         self.failures = 0
 
     async def run(self) -> None:
@@ -77,17 +78,17 @@
         """
         while True:
             resumed = self.partition.reading.resumed
-            all_kept = True
+            all_stored = True
             if self.partition.fresh:
-                all_kept = await self.look_through()
-            self.failures = 0 if all_kept else self.failures + 1
-            self.ranked = all_kept
-            with trio.move_on_after(self._pause()):
+                all_stored = await self.scan()
+            self.failures = 0 if all_stored else self.failures + 1
+            self.wait_by_rank = all_stored
+            with trio.move_on_after(self._pause_seconds()):
                 await resumed.wait()
-                self.ranked = False
+                self.wait_by_rank = False
                 self.failures = 0
 
-    def _pause(self) -> float:
+    def _pause_seconds(self) -> float:
         """Return the seconds until the next scan."""
         limits = self.settings.deferred
         if not self.failures:
@@ -97,25 +98,25 @@
         )
         return min(pause, limits.upkeep_seconds)
 
-    async def look_through(self) -> bool:
+    async def scan(self) -> bool:
         """Expire, forget and re-append the tickets that are due now.
 
         Returns:
             Whether all records that were due are known to be in the log.
         """
-        self.counters.looks.inc({"ranked": str(self.ranked).lower()})
+        self.counters.scans.inc({"ranked": str(self.wait_by_rank).lower()})
         tickets = list(self.partition.fold.tickets.values())
         due: list[Ticket] = []
-        for start in range(0, len(tickets), SLICE):
-            due += self._due_among(tickets[start : start + SLICE])
+        for start in range(0, len(tickets), SLICE_TICKETS):
+            due += self._collect_due(tickets[start : start + SLICE_TICKETS])
             await trio.lowlevel.checkpoint()
-        due.sort(key=self._urgency)
-        all_kept = True
-        for start in range(0, len(due), GROUP):
-            all_kept &= await self._append(due[start : start + GROUP])
-        return all_kept
+        due.sort(key=self._urgency_key)
+        all_stored = True
+        for start in range(0, len(due), GROUP_TICKETS):
+            all_stored &= await self._append(due[start : start + GROUP_TICKETS])
+        return all_stored
 
-    def _urgency(self, ticket: Ticket) -> tuple[float, int]:
+    def _urgency_key(self, ticket: Ticket) -> tuple[float, int]:
         """Return the sort key of due tickets, most urgent first.
 
         Tickets whose records are about equally old are ordered differently on
@@ -123,29 +124,30 @@
         tickets and find the others already re-appended.
         """
         retention = self.settings.platform.log.retention_seconds
-        step = _kept_since(ticket) // (STAGGER_RATIO * retention)
+        age_step = _kept_since(ticket) // (STAGGER_RATIO * retention)
         weight = score(ticket.id, self.ranking.host)
-        return step, -int.from_bytes(weight, "big")
+        return age_step, -int.from_bytes(weight, "big")
 
-    def _due_among(self, tickets: list[Ticket]) -> list[Ticket]:
+    def _collect_due(self, tickets: list[Ticket]) -> list[Ticket]:
         """Forget expired tickets; return those that need a record now."""
         return [
             ticket
-            for ticket in self.candidates(tickets)
-            if not self._forget(ticket) and self._needs_record(ticket)
+            for ticket in self.find_candidates(tickets)
+            if not self._forget_if_unneeded(ticket)
+            and self._needs_record(ticket)
         ]
 
     def _needs_record(self, ticket: Ticket) -> bool:
-        return self._expired(ticket) or self._due(ticket)
+        return self._expiry_due(ticket) or self._reappend_due(ticket)
 
-    def candidates(self, tickets: Iterable[Ticket]) -> list[Ticket]:
+    def find_candidates(self, tickets: Iterable[Ticket]) -> list[Ticket]:
         """Return the tickets for which anything may be due now.
 
         This runs for every ticket, so it has to be cheap.
         """
         now = self.clock.wall()
         retention = self.settings.platform.log.retention_seconds
-        kept_before = now - DUE_RATIO * retention
+        kept_before = now - REAPPEND_AGE_RATIO * retention
         found = []
         for ticket in tickets:
             end = ticket.end
@@ -167,20 +169,22 @@
             Whether all records are known to be in the log.
         """
         pending: list[PendingEntry] = []
-        readable = True
+        all_readable = True
         for ticket in tickets:
             try:
-                pending += await self._put(ticket)
+                pending += await self._queue_records(ticket)
             except LogUnavailable:
                 self.counters.reappended("log-unavailable")
-                readable = False
+                all_readable = False
         for entry in pending:
             await entry.done.wait()
-        missed = sum(entry.outcome not in KEPT for entry in pending)
-        self.counters.kept.add({"kind": "not-landed"}, missed)
-        if pending and not missed:
+        unstored = sum(
+            entry.outcome not in STORED_OUTCOMES for entry in pending
+        )
+        self.counters.reappended_records.add({"kind": "not-landed"}, unstored)
+        if pending and not unstored:
             await self._read_back(tickets)
-        return readable and not missed
+        return all_readable and not unstored
 
     async def _read_back(self, tickets: list[Ticket]) -> None:
         seconds = self.settings.platform.log.timeout_seconds
@@ -193,7 +197,7 @@
                     until,
                 )
 
-    async def _put(self, ticket: Ticket) -> list[PendingEntry]:
+    async def _queue_records(self, ticket: Ticket) -> list[PendingEntry]:
         """Queue the records that a ticket needs now.
 
         Raises:
@@ -202,44 +206,44 @@
         if self.partition.get(ticket.id) is not ticket:
             return []
         try:
-            if self._expired(ticket):
-                return [self._expire(ticket)]
-            if self._due(ticket):
-                return await self._put_again(ticket)
+            if self._expiry_due(ticket):
+                return [self._queue_expiry(ticket)]
+            if self._reappend_due(ticket):
+                return await self._queue_copies(ticket)
         except NotKept:
-            return self._end_lost(ticket)
+            return self._queue_lost_end(ticket)
         return []
 
-    def _end_lost(self, ticket: Ticket) -> list[PendingEntry]:
+    def _queue_lost_end(self, ticket: Ticket) -> list[PendingEntry]:
         """Fail a ticket whose records were dropped rather than re-appended."""
         if not ticket.open or not self._past_retention(ticket.kept_since):
             return []
         self.counters.reappended("lost")
         reason = RefusalReason.INTERNAL_ERROR
-        return [self._put_end(ticket, EndKind.FAILED, reason)]
+        return [self._queue_end(ticket, EndKind.FAILED, reason)]
 
-    def _forget(self, ticket: Ticket) -> bool:
+    def _forget_if_unneeded(self, ticket: Ticket) -> bool:
         """Forget a ticket if it is no longer needed; return whether it is."""
         fold = self.partition.fold
         if fold.tickets.get(ticket.id) is not ticket:
             return True
         if ticket.end is not None:
-            over = ticket.end.keep_until <= self.clock.wall()
+            unneeded = ticket.end.keep_until <= self.clock.wall()
         else:
             # Without a submission, a hold or an incomplete end has no use once
             # the retention has passed.
-            over = ticket.offset == NOT_STORED and self._past_retention(
+            unneeded = ticket.offset == NOT_STORED and self._past_retention(
                 ticket.kept_since
             )
-        if over:
+        if unneeded:
             fold.forget(ticket)
-        return over
+        return unneeded
 
     def _past_retention(self, kept_since: WallTime) -> bool:
         retention = self.settings.platform.log.retention_seconds
         return kept_since + retention <= self.clock.wall()
 
-    def _expired(self, ticket: Ticket) -> bool:
+    def _expiry_due(self, ticket: Ticket) -> bool:
         if not ticket.open:
             return False
         takeover = self.settings.deferred.takeover_seconds
@@ -248,39 +252,41 @@
             return False
         return ticket.deadline + self.ranking.rank(ticket.id) * takeover <= now
 
-    def _due(self, ticket: Ticket) -> bool:
+    def _reappend_due(self, ticket: Ticket) -> bool:
         """Return whether a ticket's records must be appended again."""
         if ticket.end is None and not ticket.open:
             return False
         kept_since = _kept_since(ticket)
         retention = self.settings.platform.log.retention_seconds
         now = self.clock.wall()
-        if kept_since + DUE_RATIO * retention > now:
+        if kept_since + REAPPEND_AGE_RATIO * retention > now:
             return False
-        if not self.ranked:
+        if not self.wait_by_rank:
             return True
         staggers = min(self.ranking.rank(ticket.id), MAX_STAGGERS)
-        share = DUE_RATIO + staggers * STAGGER_RATIO
-        return kept_since + share * retention <= now
+        due_ratio = REAPPEND_AGE_RATIO + staggers * STAGGER_RATIO
+        return kept_since + due_ratio * retention <= now
 
-    def _expire(self, ticket: Ticket) -> PendingEntry:
+    def _queue_expiry(self, ticket: Ticket) -> PendingEntry:
         reason = RefusalReason.TICKET_EXPIRED
-        return self._put_end(ticket, EndKind.EXPIRED, reason)
+        return self._queue_end(ticket, EndKind.EXPIRED, reason)
 
-    def _put_end(
+    def _queue_end(
         self, ticket: Ticket, kind: int, reason: RefusalReason
     ) -> PendingEntry:
-        keep = self.clock.wall() + self.settings.deferred.result_keep_seconds
+        keep_result_until = (
+            self.clock.wall() + self.settings.deferred.result_keep_seconds
+        )
         attempt = new_attempt(HostId(self.settings.host.id), self.entropy)
-        end = make_end(ticket, attempt, kind, keep)
+        end = make_end(ticket, attempt, kind, keep_result_until)
         end.reason = reason.value
         return self.partition.writer.put(Entry(end=end))
 
-    async def _put_again(self, ticket: Ticket) -> list[PendingEntry]:
+    async def _queue_copies(self, ticket: Ticket) -> list[PendingEntry]:
         writer = self.partition.writer
 
         def needed() -> bool:
-            return self._due(ticket)
+            return self._reappend_due(ticket)
 
         if ticket.end is not None:
             self.counters.reappended("end")
@@ -290,7 +296,7 @@
             return [writer.put(Entry(end=chunk), needed) for chunk in chunks]
         self.counters.reappended("submission")
         submission = await self.partition.load_submission(ticket)
-        submission.hold = _store_hold(ticket)
+        submission.hold = _to_hold_record(ticket)
         submission.origin = ticket.origin
         return [writer.put(Entry(submission=submission), needed)]
 
@@ -300,7 +306,7 @@
     return ticket.kept_since if ticket.end is None else ticket.end.kept_since
 
 
-def _store_hold(ticket: Ticket) -> HoldRecord | None:
+def _to_hold_record(ticket: Ticket) -> HoldRecord | None:
     hold = ticket.hold
     if hold is None:
         return None
--- a/agatetack/deferred/runner.py
+++ b/agatetack/deferred/runner.py
@@ -200,18 +200,24 @@
         self, ticket: Ticket, hold: Hold, verdict: Verdict
     ) -> list[EndChunk]:
         """Return the chunks that record how a ticket ended."""
-        keep = self.clock.wall() + self.settings.deferred.result_keep_seconds
+        keep_result_until = (
+            self.clock.wall() + self.settings.deferred.result_keep_seconds
+        )
         reason = verdict.reason
         if verdict.next is NextStep.ANSWER and verdict.answer is not None:
             chunks = split_answer(
-                ticket, hold.attempt, verdict.answer, keep, self.settings
+                ticket,
+                hold.attempt,
+                verdict.answer,
+                keep_result_until,
+                self.settings,
             )
             writer = self.schedule.partition_of(ticket.id).writer
             if all(writer.fits(Entry(end=chunk)) for chunk in chunks):
                 return chunks
             # The answer's headers alone are too large for a record.
             reason = RefusalReason.RESULT_TOO_LARGE
-        end = make_end(ticket, hold.attempt, EndKind.FAILED, keep)
+        end = make_end(ticket, hold.attempt, EndKind.FAILED, keep_result_until)
         if reason is not None:
             end.reason = reason.value
         return [end]
--- a/agatetack/deferred/schedule.py
+++ b/agatetack/deferred/schedule.py
@@ -140,7 +140,7 @@
         ):
             return Deadline(now + RECHECK_SECONDS)
         if ticket.deadline <= self.clock.wall():
-            # The upkeep task records that it has expired.
+            # The maintenance task records that it has expired.
             return Deadline(now + RECHECK_SECONDS)
         route_paused_until = self.paused_until.get(ticket.route, now)
         if route_paused_until > now:
--- a/bench/deferred_slopes.py
+++ b/bench/deferred_slopes.py
@@ -16,6 +16,7 @@
 from agatetack.deferred.ends import split_answer
 from agatetack.deferred.fold import Ticket
 from agatetack.deferred.log_queue import LogDeferredQueue
+from agatetack.deferred.maintenance import TicketMaintenance
 from agatetack.deferred.queue import StoredAnswer
 from agatetack.deferred.records import (
     decode_batch,
@@ -24,7 +25,6 @@
     make_submission,
     new_ticket,
 )
-from agatetack.deferred.upkeep import Upkeep
 from agatetack.generated.deferred.ttypes import Entry, Hold, Start
 from agatetack.ids import AttemptId, LogOffset, WallTime
 from agatetack.messages import Header
@@ -125,7 +125,7 @@
 def look_through_seconds(queue: LogDeferredQueue) -> float:
     """Return the seconds that one look through all tickets takes."""
     partition = queue.partitions[0]
-    upkeep = Upkeep(
+    maintenance = TicketMaintenance(
         queue.settings,
         partition,
         queue.ranking,
@@ -134,7 +134,7 @@
         queue.entropy,
     )
     begun = time.process_time()
-    upkeep.candidates(partition.fold.tickets.values())
+    maintenance.find_candidates(partition.fold.tickets.values())
     return time.process_time() - begun
 
 
