--- a/agatetack/deferred/ends.py
+++ b/agatetack/deferred/ends.py
@@ -7,7 +7,7 @@
 from agatetack.ids import AttemptId
 from agatetack.settings.model import Settings
 
-CHUNK_OVERHEAD = 1024
+CHUNK_OVERHEAD_BYTES = 1024
 """Upper bound on an encoded chunk's size without its body and headers."""
 
 
@@ -35,12 +35,18 @@
     settings: Settings,
 ) -> list[EndChunk]:
     """Split an answer into chunks that each fit into one log record."""
-    headers = sum(len(name) + len(value) + 16 for name, value in answer.headers)
-    room = settings.platform.log.max_record_bytes - CHUNK_OVERHEAD - headers
-    room = max(room, CHUNK_OVERHEAD)
+    header_bytes = sum(
+        len(name) + len(value) + 16 for name, value in answer.headers
+    )
+    chunk_body_bytes = (
+        settings.platform.log.max_record_bytes
+        - CHUNK_OVERHEAD_BYTES
+        - header_bytes
+    )
+    chunk_body_bytes = max(chunk_body_bytes, CHUNK_OVERHEAD_BYTES)
     parts = [
-        answer.body[start : start + room]
-        for start in range(0, len(answer.body), room)
+        answer.body[start : start + chunk_body_bytes]
+        for start in range(0, len(answer.body), chunk_body_bytes)
     ]
     chunks = []
     for index, part in enumerate(parts or [b""]):
--- a/agatetack/deferred/maintenance.py
+++ b/agatetack/deferred/maintenance.py
@@ -10,7 +10,7 @@
 from agatetack.deferred.ends import make_end
 from agatetack.deferred.fold import NOT_STORED, Ticket
 from agatetack.deferred.host_ranking import HostRanking, score
-from agatetack.deferred.partition import NotKept, Partition
+from agatetack.deferred.partition import EntryNotFound, Partition
 from agatetack.deferred.records import new_attempt
 from agatetack.deferred.writer import AppendOutcome, PendingEntry
 from agatetack.generated.deferred.ttypes import EndKind, Entry
@@ -77,7 +77,7 @@
         gap, soon after a failed append, and every `upkeep_seconds` otherwise.
         """
         while True:
-            resumed = self.partition.reading.resumed
+            resumed = self.partition.resumption.resumed
             all_stored = True
             if self.partition.fresh:
                 all_stored = await self.scan()
@@ -210,7 +210,7 @@
                 return [self._queue_expiry(ticket)]
             if self._reappend_due(ticket):
                 return await self._queue_copies(ticket)
-        except NotKept:
+        except EntryNotFound:
             return self._queue_lost_end(ticket)
         return []
 
--- a/agatetack/deferred/partition.py
+++ b/agatetack/deferred/partition.py
@@ -35,14 +35,14 @@
 PAGE_RECORDS = 32
 """Records per read; each may be as large as the log allows."""
 
-CHUNK_RATIO = 0.25
+MAX_END_SPAN_RATIO = 0.25
 """Longest time between the records of one end, as a share of retention."""
 
 OpenHandler = Callable[[TicketId], None]
 """Called with a ticket that is open and was just read from the log."""
 
 
-class NotKept(Exception):
+class EntryNotFound(Exception):
     """The requested entry is no longer in the log at its known offset."""
 
 
@@ -55,8 +55,8 @@
         position: The offset of the next record to read.
         caught_up: Whether the stream has been read to its end since this
             host started, or since it last had to start over.
-        end_read_at: When the stream was last read to its end.
-        reading: Signals that the stream was read to its end after an
+        caught_up_at: When the stream was last read to its end.
+        resumption: Signals that the stream was read to its end after an
             interruption.
         writer: Appends to the stream.
     """
@@ -80,10 +80,10 @@
         self.fold = self._new_fold()
         self.position = LogOffset(0)
         self.caught_up = False
-        self.end_read_at = Deadline(0.0)
-        self.reading = Resumption()
+        self.caught_up_at = Deadline(0.0)
+        self.resumption = Resumption()
         self.changed = trio.Event()
-        self.watched: dict[TicketId, trio.Event] = {}
+        self.ticket_events: dict[TicketId, trio.Event] = {}
         self.cache: collections.OrderedDict[LogOffset, bytes] = (
             collections.OrderedDict()
         )
@@ -95,12 +95,12 @@
         """Read the stream until cancelled."""
         while True:
             try:
-                await self._read_on()
+                await self._read_page()
             except LogTruncated as error:
-                self.reading.interrupt()
-                self._start_over(error.first)
+                self.resumption.interrupt()
+                self._restart_from(error.first)
             except LogUnavailable:
-                self.reading.interrupt()
+                self.resumption.interrupt()
                 await trio.sleep(RETRY_SECONDS)
 
     @property
@@ -111,9 +111,11 @@
         ended and been forgotten in the meantime may still look open.
         """
         log_settings = self.settings.platform.log
-        longest = log_settings.poll_seconds + log_settings.timeout_seconds
-        age = self.clock.now() - self.end_read_at
-        return self.caught_up and age <= longest
+        max_age_seconds = (
+            log_settings.poll_seconds + log_settings.timeout_seconds
+        )
+        age = self.clock.now() - self.caught_up_at
+        return self.caught_up and age <= max_age_seconds
 
     def get(self, ticket: TicketId) -> Ticket | None:
         """Return the state of a ticket, or None if it is unknown."""
@@ -130,12 +132,12 @@
             found = self.get(ticket)
             if found is not None and condition(found):
                 return found
-            event = self.watched.setdefault(ticket, trio.Event())
+            event = self.ticket_events.setdefault(ticket, trio.Event())
             try:
                 with trio.move_on_at(until) as scope:
                     await event.wait()
             finally:
-                self._unwatch(ticket, event)
+                self._discard_event(ticket, event)
             if scope.cancelled_caught:
                 return None
 
@@ -170,25 +172,25 @@
         """Return a ticket's stored request.
 
         Raises:
-            NotKept: It was dropped, or re-appended at another offset.
+            EntryNotFound: It was dropped, or re-appended at another offset.
             LogUnavailable: The log can't be read.
         """
-        for entry in await self._load(ticket.offset):
+        for entry in await self._load_entries(ticket.offset):
             part = entry.submission
             if part is not None and part.ticket == ticket.id:
                 return part
-        raise NotKept(ticket.id)
+        raise EntryNotFound(ticket.id)
 
     async def load_chunks(self, ticket: Ticket, end: End) -> list[EndChunk]:
         """Return the chunks of a ticket's end.
 
         Raises:
-            NotKept: They were dropped, or re-appended at another offset.
+            EntryNotFound: They were dropped, or re-appended at another offset.
             LogUnavailable: The log can't be read.
         """
         chunks = []
         for index, offset in enumerate(end.offsets):
-            for entry in await self._load(offset):
+            for entry in await self._load_entries(offset):
                 part = entry.end
                 if (
                     part is not None
@@ -198,7 +200,7 @@
                     chunks.append(part)
                     break
             else:
-                raise NotKept(ticket.id)
+                raise EntryNotFound(ticket.id)
         return chunks
 
     async def load_answer(self, ticket: Ticket, end: End) -> StoredAnswer:
@@ -210,7 +212,7 @@
             body=b"".join(chunk.body for chunk in chunks),
         )
 
-    async def _read_on(self) -> None:
+    async def _read_page(self) -> None:
         log_settings = self.settings.platform.log
         now = self.clock.now()
         # The first reads don't wait for new records, so that an empty stream
@@ -225,14 +227,14 @@
         )
         for record in page.records:
             for ticket in self._apply(record):
-                self._announce(ticket)
+                self._notify(ticket)
             self.position = LogOffset(record.offset + 1)
             # Decoding takes long enough to delay fast routes on this thread.
             await trio.lowlevel.checkpoint()
         if self.position >= page.end:
             self.caught_up = True
-            self.end_read_at = self.clock.now()
-            self.reading.reach_end()
+            self.caught_up_at = self.clock.now()
+            self.resumption.reach_end()
         self.changed.set()
         self.changed = trio.Event()
 
@@ -245,25 +247,25 @@
                 {"part": "deferred", "reason": "malformed-record"}
             )
             return []
-        self._keep(record.offset, record.payload)
+        self._cache_record(record.offset, record.payload)
         tickets = [self.fold.apply(record, entry) for entry in entries]
         return list(dict.fromkeys(tickets))
 
-    def _announce(self, ticket: TicketId) -> None:
-        event = self.watched.pop(ticket, None)
+    def _notify(self, ticket: TicketId) -> None:
+        event = self.ticket_events.pop(ticket, None)
         if event is not None:
             event.set()
         found = self.get(ticket)
         if found is not None and found.open:
             self.on_open(ticket)
 
-    def _unwatch(self, ticket: TicketId, event: trio.Event) -> None:
+    def _discard_event(self, ticket: TicketId, event: trio.Event) -> None:
         """Remove an event that no task waits for any more."""
         waiting = event.statistics().tasks_waiting
-        if waiting == 0 and self.watched.get(ticket) is event:
-            del self.watched[ticket]
+        if waiting == 0 and self.ticket_events.get(ticket) is event:
+            del self.ticket_events[ticket]
 
-    def _start_over(self, first: LogOffset) -> None:
+    def _restart_from(self, first: LogOffset) -> None:
         """Rebuild the state from the first record that the log still has.
 
         The old state is discarded: it can't distinguish open tickets from
@@ -284,18 +286,18 @@
 
     def _new_fold(self) -> Fold:
         retention = self.settings.platform.log.retention_seconds
-        return Fold(CHUNK_RATIO * retention)
+        return Fold(MAX_END_SPAN_RATIO * retention)
 
-    async def _load(self, offset: LogOffset) -> list[Entry]:
+    async def _load_entries(self, offset: LogOffset) -> list[Entry]:
         payload = self.cache.get(offset)
         if payload is None:
-            payload = await self._fetch(offset)
-            self._keep(offset, payload)
+            payload = await self._read_payload(offset)
+            self._cache_record(offset, payload)
         else:
             self.cache.move_to_end(offset)
         return decode_batch(payload)
 
-    async def _fetch(self, offset: LogOffset) -> bytes:
+    async def _read_payload(self, offset: LogOffset) -> bytes:
         seconds = self.settings.platform.log.timeout_seconds
         deadline = Deadline(self.clock.now() + seconds)
         try:
@@ -303,12 +305,12 @@
                 self.stream, offset, deadline, max_records=1
             )
         except LogTruncated as error:
-            raise NotKept(str(offset)) from error
+            raise EntryNotFound(str(offset)) from error
         if not page.records:
-            raise NotKept(str(offset))
+            raise EntryNotFound(str(offset))
         return page.records[0].payload
 
-    def _keep(self, offset: LogOffset, payload: bytes) -> None:
+    def _cache_record(self, offset: LogOffset, payload: bytes) -> None:
         """Cache a record and evict the least recently used ones."""
         limit = self.settings.deferred.cache_bytes
         limit //= self.settings.deferred.partitions
--- a/agatetack/deferred/runner.py
+++ b/agatetack/deferred/runner.py
@@ -11,7 +11,7 @@
 from agatetack.deferred.counters import Counters
 from agatetack.deferred.ends import make_end, split_answer
 from agatetack.deferred.fold import Hold, Ticket
-from agatetack.deferred.partition import NotKept, Partition
+from agatetack.deferred.partition import EntryNotFound, Partition
 from agatetack.deferred.queue import Executor
 from agatetack.deferred.records import load_request, new_attempt
 from agatetack.deferred.schedule import RECHECK_SECONDS, Schedule
@@ -97,7 +97,7 @@
         again_at = self._deadline_in(RECHECK_SECONDS)
         try:
             return await self._run(ticket)
-        except (NotKept, LogUnavailable):
+        except (EntryNotFound, LogUnavailable):
             # Its record was re-appended elsewhere or can't be read now; retry.
             self.counters.run("not-loaded")
             return RunResult(again_at)
--- a/agatetack/deferred/test_log_queue.py
+++ b/agatetack/deferred/test_log_queue.py
@@ -249,10 +249,10 @@
         [host],
     ):
         ticket = (await submit(host)).unwrap()
-        watched = host.queue.schedule.partition_of(ticket).watched
+        ticket_events = host.queue.schedule.partition_of(ticket).ticket_events
         with trio.move_on_after(0.2):
             await fetch(host, ticket)
-        assert ticket not in watched
+        assert ticket not in ticket_events
 
 
 @pytest.mark.parametrize("outage_seconds", [0, 1, 30])
--- a/bench/deferred_slopes.py
+++ b/bench/deferred_slopes.py
@@ -94,7 +94,7 @@
     begun = time.process_time()
     for record in records:
         for ticket in partition._apply(record):
-            partition._announce(ticket)
+            partition._notify(ticket)
     return time.process_time() - begun
 
 
