--- a/agatetack/deferred/fetcher.py
+++ b/agatetack/deferred/fetcher.py
@@ -82,9 +82,9 @@
         self, partition: Partition, ticket: Ticket, until: Deadline
     ) -> FetchResult:
         for _ in range(MAX_LOAD_TRIES):
-            first = partition.fold.primary(ticket)
+            primary_ticket = partition.fold.primary(ticket)
             ended = await partition.wait_for(
-                first.id, lambda known: known.end is not None, until
+                primary_ticket.id, lambda known: known.end is not None, until
             )
             if ended is None or ended.end is None:
                 return Success(TicketState.OPEN)
--- a/agatetack/deferred/fold.py
+++ b/agatetack/deferred/fold.py
@@ -61,7 +61,7 @@
         attempt: The attempt that recorded this end.
         origin: The offset at which it was first complete.
         offsets: The offsets at which its chunks can be read now.
-        kept_since: The append time of the oldest of these records, by the
+        appended_at: The append time of the oldest of these records, by the
             log's clock.
         keep_until: When the ticket may be forgotten.
         reason: Why the request failed, or None.
@@ -71,7 +71,7 @@
     attempt: AttemptId
     origin: LogOffset
     offsets: tuple[LogOffset, ...]
-    kept_since: WallTime
+    appended_at: WallTime
     keep_until: WallTime
     reason: str | None
 
@@ -82,7 +82,7 @@
 
     origin: LogOffset
     offset: LogOffset
-    kept_since: WallTime
+    appended_at: WallTime
 
 
 @dataclasses.dataclass(slots=True)
@@ -98,17 +98,17 @@
         offset: The offset at which its submission can be read, or
             `NOT_STORED`.
         origin: The lowest known offset of its original records.
-        kept_since: The append time of the submission's latest record, by the
+        appended_at: The append time of the submission's latest record, by the
             log's clock.
         hold: The hold in force, or None.
         end: How the ticket ended, or None.
-        chunked: For each attempt, the chunks of an end that is split across
-            several records.
+        chunks_by_attempt: For each attempt, the chunks of an end that is split
+            across several records.
     """
 
     id: TicketId
     identity: bytes
-    kept_since: WallTime
+    appended_at: WallTime
     route: RouteId = RouteId("")
     submitted_at: WallTime = WallTime(0.0)
     deadline: WallTime = WallTime(0.0)
@@ -116,7 +116,7 @@
     origin: LogOffset = NOT_STORED
     hold: Hold | None = None
     end: End | None = None
-    chunked: dict[AttemptId, dict[int, Chunk]] | None = None
+    chunks_by_attempt: dict[AttemptId, dict[int, Chunk]] | None = None
 
     @property
     def open(self) -> bool:
@@ -135,16 +135,16 @@
             attempt; each means that a request ran twice.
     """
 
-    def __init__(self, chunk_seconds: float) -> None:
+    def __init__(self, max_end_span_seconds: float) -> None:
         """Start without tickets.
 
         Args:
-            chunk_seconds: Longest time between the records of one end. It must
-                be less than what is left of the retention when records are
-                re-appended, so that no chunk is dropped before the others
+            max_end_span_seconds: Longest time between the records of one end.
+                It must be less than what is left of the retention when records
+                are re-appended, so that no chunk is dropped before the others
                 are in the log.
         """
-        self.chunk_seconds = chunk_seconds
+        self.max_end_span_seconds = max_end_span_seconds
         self.tickets: dict[TicketId, Ticket] = {}
         self.by_identity: dict[bytes, TicketId] = {}
         self.open_count = 0
@@ -153,14 +153,14 @@
     def apply(self, record: LogRecord, entry: Entry) -> TicketId:
         """Apply one entry of `record` and return its ticket."""
         part = entry.submission or entry.start or entry.end
-        ticket = self._find(TicketId(part.ticket), record)
+        ticket = self._get_or_create(TicketId(part.ticket), record)
         was_open = ticket.open
         if entry.submission is not None:
-            self._submit(ticket, entry.submission, record)
+            self._apply_submission(ticket, entry.submission, record)
         elif entry.start is not None:
-            self._hold(ticket, entry.start.hold, record)
+            self._apply_hold(ticket, entry.start.hold, record)
         else:
-            self._end(ticket, entry.end, record)
+            self._apply_end_chunk(ticket, entry.end, record)
         self.open_count += ticket.open - was_open
         return ticket.id
 
@@ -180,16 +180,16 @@
         """Drop a ticket that need not be kept any more."""
         del self.tickets[ticket.id]
         self.open_count -= ticket.open
-        self._unlist(ticket)
+        self._unindex(ticket)
 
-    def _find(self, ticket_id: TicketId, record: LogRecord) -> Ticket:
+    def _get_or_create(self, ticket_id: TicketId, record: LogRecord) -> Ticket:
         ticket = self.tickets.get(ticket_id)
         if ticket is None:
             ticket = Ticket(ticket_id, b"", record.appended_at)
             self.tickets[ticket_id] = ticket
         return ticket
 
-    def _submit(
+    def _apply_submission(
         self, ticket: Ticket, submission: Submission, record: LogRecord
     ) -> None:
         ticket.identity = submission.identity
@@ -198,25 +198,25 @@
         ticket.submitted_at = WallTime(submission.submitted_at)
         ticket.deadline = WallTime(submission.deadline)
         origin = submission.origin
-        self._begin(ticket, record.offset if origin is None else origin)
+        self._lower_origin(ticket, record.offset if origin is None else origin)
         ticket.offset = max(ticket.offset, record.offset)
-        ticket.kept_since = max(ticket.kept_since, record.appended_at)
+        ticket.appended_at = max(ticket.appended_at, record.appended_at)
         if submission.hold is not None:
-            self._hold(ticket, submission.hold, record)
-        self._list(ticket)
+            self._apply_hold(ticket, submission.hold, record)
+        self._index(ticket)
 
-    def _begin(self, ticket: Ticket, origin: int) -> None:
+    def _lower_origin(self, ticket: Ticket, origin: int) -> None:
         if ticket.origin == NOT_STORED or origin < ticket.origin:
             ticket.origin = LogOffset(origin)
 
-    def _hold(
+    def _apply_hold(
         self, ticket: Ticket, hold: HoldRecord, record: LogRecord
     ) -> None:
         if ticket.end is not None:
             return
         origin = record.offset if hold.origin is None else hold.origin
-        old = ticket.hold
-        if old is not None and (old.number, -old.origin) >= (
+        previous = ticket.hold
+        if previous is not None and (previous.number, -previous.origin) >= (
             hold.number,
             -origin,
         ):
@@ -230,35 +230,37 @@
             LogOffset(origin),
         )
 
-    def _end(self, ticket: Ticket, chunk: EndChunk, record: LogRecord) -> None:
+    def _apply_end_chunk(
+        self, ticket: Ticket, chunk: EndChunk, record: LogRecord
+    ) -> None:
         ticket.identity = chunk.identity
         attempt = AttemptId(chunk.attempt)
-        chunks = self._collect(ticket, attempt, chunk, record)
+        chunks = self._complete_chunks(ticket, attempt, chunk, record)
         if chunks is None:
             return
-        old = ticket.end
+        previous = ticket.end
         origin = max(item.origin for item in chunks)
-        if old is not None and old.attempt == attempt:
-            origin = min(origin, old.origin)
+        if previous is not None and previous.attempt == attempt:
+            origin = min(origin, previous.origin)
         new = End(
             kind=chunk.kind,
             attempt=attempt,
             origin=origin,
             offsets=tuple(item.offset for item in chunks),
-            kept_since=min(item.kept_since for item in chunks),
+            appended_at=min(item.appended_at for item in chunks),
             keep_until=WallTime(chunk.keep_until),
             reason=chunk.reason and sys.intern(chunk.reason),
         )
-        if old is not None and old.attempt != attempt:
+        if previous is not None and previous.attempt != attempt:
             self.second_ends += 1
-            if (old.origin, old.attempt) < (new.origin, new.attempt):
+            if (previous.origin, previous.attempt) < (new.origin, new.attempt):
                 return
         ticket.end = new
         ticket.hold = None
-        self._begin(ticket, new.origin)
-        self._list(ticket)
+        self._lower_origin(ticket, new.origin)
+        self._index(ticket)
 
-    def _collect(
+    def _complete_chunks(
         self,
         ticket: Ticket,
         attempt: AttemptId,
@@ -270,51 +272,53 @@
         new = Chunk(LogOffset(origin), record.offset, record.appended_at)
         if chunk.chunks == 1:
             return [new]
-        if ticket.chunked is None:
-            ticket.chunked = {}
-        known = ticket.chunked.setdefault(attempt, {})
-        old = known.get(chunk.index)
-        if old is not None and self._near(old.kept_since, new.kept_since):
+        if ticket.chunks_by_attempt is None:
+            ticket.chunks_by_attempt = {}
+        known = ticket.chunks_by_attempt.setdefault(attempt, {})
+        previous = known.get(chunk.index)
+        if previous is not None and self._close_in_time(
+            previous.appended_at, new.appended_at
+        ):
             new = Chunk(
-                min(old.origin, new.origin),
-                max(old.offset, new.offset),
-                max(old.kept_since, new.kept_since),
+                min(previous.origin, new.origin),
+                max(previous.offset, new.offset),
+                max(previous.appended_at, new.appended_at),
             )
         known[chunk.index] = new
         if len(known) < chunk.chunks:
             return None
-        times = [item.kept_since for item in known.values()]
-        if not self._near(min(times), max(times)):
+        times = [item.appended_at for item in known.values()]
+        if not self._close_in_time(min(times), max(times)):
             # The log may already have dropped the oldest chunk, so that a host
             # that starts now could not read it.
             return None
         return [known[index] for index in range(chunk.chunks)]
 
-    def _near(self, one: WallTime, other: WallTime) -> bool:
+    def _close_in_time(self, one: WallTime, other: WallTime) -> bool:
         """Return whether two append times are close enough for one end."""
-        return abs(other - one) <= self.chunk_seconds
+        return abs(other - one) <= self.max_end_span_seconds
 
-    def _list(self, ticket: Ticket) -> None:
+    def _index(self, ticket: Ticket) -> None:
         """Index the ticket for resubmissions, unless they should run anew.
 
         Resubmissions of a request that expired or failed get a new ticket.
         """
         end = ticket.end
         if end is not None and end.kind != EndKind.ANSWERED:
-            self._unlist(ticket)
+            self._unindex(ticket)
             return
         if not ticket.identity:
             return
         first = self.find_identity(ticket.identity)
-        if first is None or _order(ticket) < _order(first):
+        if first is None or _selection_key(ticket) < _selection_key(first):
             self.by_identity[ticket.identity] = ticket.id
 
-    def _unlist(self, ticket: Ticket) -> None:
+    def _unindex(self, ticket: Ticket) -> None:
         if self.by_identity.get(ticket.identity) == ticket.id:
             del self.by_identity[ticket.identity]
 
 
-def _order(ticket: Ticket) -> tuple[bool, LogOffset, TicketId]:
+def _selection_key(ticket: Ticket) -> tuple[bool, LogOffset, TicketId]:
     """Return the sort key that selects one ticket of equal submissions.
 
     The first one in the log is selected, as it may run before the next is
--- a/agatetack/deferred/maintenance.py
+++ b/agatetack/deferred/maintenance.py
@@ -124,7 +124,7 @@
         tickets and find the others already re-appended.
         """
         retention = self.settings.platform.log.retention_seconds
-        age_step = _kept_since(ticket) // (STAGGER_RATIO * retention)
+        age_step = _oldest_append_time(ticket) // (STAGGER_RATIO * retention)
         weight = score(ticket.id, self.ranking.host)
         return age_step, -int.from_bytes(weight, "big")
 
@@ -147,14 +147,17 @@
         """
         now = self.clock.wall()
         retention = self.settings.platform.log.retention_seconds
-        kept_before = now - REAPPEND_AGE_RATIO * retention
+        appended_before = now - REAPPEND_AGE_RATIO * retention
         found = []
         for ticket in tickets:
             end = ticket.end
             if end is None:
-                if ticket.deadline > now and ticket.kept_since > kept_before:
+                if (
+                    ticket.deadline > now
+                    and ticket.appended_at > appended_before
+                ):
                     continue
-            elif end.keep_until > now and end.kept_since > kept_before:
+            elif end.keep_until > now and end.appended_at > appended_before:
                 continue
             found.append(ticket)
         return found
@@ -216,7 +219,7 @@
 
     def _queue_lost_end(self, ticket: Ticket) -> list[PendingEntry]:
         """Fail a ticket whose records were dropped rather than re-appended."""
-        if not ticket.open or not self._past_retention(ticket.kept_since):
+        if not ticket.open or not self._past_retention(ticket.appended_at):
             return []
         self.counters.reappended("lost")
         reason = RefusalReason.INTERNAL_ERROR
@@ -233,15 +236,15 @@
             # Without a submission, a hold or an incomplete end has no use once
             # the retention has passed.
             unneeded = ticket.offset == NOT_STORED and self._past_retention(
-                ticket.kept_since
+                ticket.appended_at
             )
         if unneeded:
             fold.forget(ticket)
         return unneeded
 
-    def _past_retention(self, kept_since: WallTime) -> bool:
+    def _past_retention(self, appended_at: WallTime) -> bool:
         retention = self.settings.platform.log.retention_seconds
-        return kept_since + retention <= self.clock.wall()
+        return appended_at + retention <= self.clock.wall()
 
     def _expiry_due(self, ticket: Ticket) -> bool:
         if not ticket.open:
@@ -256,16 +259,16 @@
         """Return whether a ticket's records must be appended again."""
         if ticket.end is None and not ticket.open:
             return False
-        kept_since = _kept_since(ticket)
+        appended_at = _oldest_append_time(ticket)
         retention = self.settings.platform.log.retention_seconds
         now = self.clock.wall()
-        if kept_since + REAPPEND_AGE_RATIO * retention > now:
+        if appended_at + REAPPEND_AGE_RATIO * retention > now:
             return False
         if not self.wait_by_rank:
             return True
         staggers = min(self.ranking.rank(ticket.id), MAX_STAGGERS)
         due_ratio = REAPPEND_AGE_RATIO + staggers * STAGGER_RATIO
-        return kept_since + due_ratio * retention <= now
+        return appended_at + due_ratio * retention <= now
 
     def _queue_expiry(self, ticket: Ticket) -> PendingEntry:
         reason = RefusalReason.TICKET_EXPIRED
@@ -301,9 +304,9 @@
         return [writer.put(Entry(submission=submission), needed)]
 
 
-def _kept_since(ticket: Ticket) -> WallTime:
+def _oldest_append_time(ticket: Ticket) -> WallTime:
     """Return the time of the oldest record that a ticket needs."""
-    return ticket.kept_since if ticket.end is None else ticket.end.kept_since
+    return ticket.appended_at if ticket.end is None else ticket.end.appended_at
 
 
 def _to_hold_record(ticket: Ticket) -> HoldRecord | None:
