--- a/agatetack/deferred/log_queue.py
+++ b/agatetack/deferred/log_queue.py
@@ -22,7 +22,7 @@
 from agatetack.deferred.schedule import Schedule
 from agatetack.deferred.steady import SteadyClock
 from agatetack.deferred.submitter import Submitter
-from agatetack.deferred.writer import Pacer
+from agatetack.deferred.writer import AppendRateLimiter
 from agatetack.ids import Deadline, TicketId
 from agatetack.messages import CallerRequest
 from agatetack.metrics import Metrics
@@ -31,7 +31,7 @@
 from agatetack.record_log.log import Log
 from agatetack.settings.model import Settings
 
-WORKERS = 2
+WORKERS_PER_SLOT = 2
 """Workers per request that may run at a time; the rest record ends."""
 
 REFRESH_SECONDS = 0.5
@@ -79,9 +79,11 @@
         self.counters = Counters(metrics)
         self.metrics = metrics
         self.ranking = HostRanking(settings, exchange, self.clock)
-        pacer = Pacer(settings, self.clock)
+        rate_limiter = AppendRateLimiter(settings, self.clock)
         self.partitions = {
-            number: Partition(number, settings, log, pacer, metrics, self.clock)
+            number: Partition(
+                number, settings, log, rate_limiter, metrics, self.clock
+            )
             for number in range(settings.deferred.partitions)
         }
         self.schedule = Schedule(
@@ -126,7 +128,9 @@
                 nursery.start_soon(partition.run)
                 nursery.start_soon(partition.writer.run)
                 nursery.start_soon(maintenance.run)
-            for _ in range(WORKERS * self.settings.deferred.concurrency):
+            for _ in range(
+                WORKERS_PER_SLOT * self.settings.deferred.concurrency
+            ):
                 nursery.start_soon(self.runner.work)
             nursery.start_soon(self._refresh)
             task_status.started()
--- a/agatetack/deferred/maintenance.py
+++ b/agatetack/deferred/maintenance.py
@@ -283,7 +283,7 @@
         attempt = new_attempt(HostId(self.settings.host.id), self.entropy)
         end = make_end(ticket, attempt, kind, keep_result_until)
         end.reason = reason.value
-        return self.partition.writer.put(Entry(end=end))
+        return self.partition.writer.enqueue(Entry(end=end))
 
     async def _queue_copies(self, ticket: Ticket) -> list[PendingEntry]:
         writer = self.partition.writer
@@ -296,12 +296,14 @@
             chunks = await self.partition.load_chunks(ticket, ticket.end)
             for chunk in chunks:
                 chunk.origin = ticket.end.origin
-            return [writer.put(Entry(end=chunk), needed) for chunk in chunks]
+            return [
+                writer.enqueue(Entry(end=chunk), needed) for chunk in chunks
+            ]
         self.counters.reappended("submission")
         submission = await self.partition.load_submission(ticket)
         submission.hold = _to_hold_record(ticket)
         submission.origin = ticket.origin
-        return [writer.put(Entry(submission=submission), needed)]
+        return [writer.enqueue(Entry(submission=submission), needed)]
 
 
 def _oldest_append_time(ticket: Ticket) -> WallTime:
--- a/agatetack/deferred/partition.py
+++ b/agatetack/deferred/partition.py
@@ -14,7 +14,7 @@
     load_headers,
     stream_of,
 )
-from agatetack.deferred.writer import Pacer, Writer
+from agatetack.deferred.writer import AppendRateLimiter, Writer
 from agatetack.generated.deferred.ttypes import EndChunk, Entry, Submission
 from agatetack.ids import Deadline, LogOffset, TicketId
 from agatetack.logs import PartLog
@@ -66,7 +66,7 @@
         number: int,
         settings: Settings,
         log: Log,
-        pacer: Pacer,
+        rate_limiter: AppendRateLimiter,
         metrics: Metrics,
         clock: Clock,
     ):
@@ -88,7 +88,9 @@
             collections.OrderedDict()
         )
         self.cached_bytes = 0
-        self.writer = Writer(settings, log, self.stream, pacer, metrics, clock)
+        self.writer = Writer(
+            settings, log, self.stream, rate_limiter, metrics, clock
+        )
         self.on_open: OpenHandler = lambda ticket: None
 
     async def run(self) -> None:
--- a/agatetack/deferred/submitter.py
+++ b/agatetack/deferred/submitter.py
@@ -172,7 +172,7 @@
     async def _append(
         self, partition: Partition, entry: Entry, until: Deadline
     ) -> AppendOutcome:
-        pending = partition.writer.put(entry)
+        pending = partition.writer.enqueue(entry)
         try:
             with trio.move_on_at(until):
                 await pending.done.wait()
--- a/agatetack/deferred/test_faults.py
+++ b/agatetack/deferred/test_faults.py
@@ -110,11 +110,11 @@
 PAIRS += list(itertools.combinations(FAULTS, 2))
 
 
-async def submit_until_kept(fleet, number, tickets):
+async def submit_until_accepted(fleet, number, tickets):
     """Submit a request and resubmit it until it is accepted."""
-    dice = random.Random(number)
+    rng = random.Random(number)
     while number not in tickets:
-        name = dice.choice(list(fleet.hosts))
+        name = rng.choice(list(fleet.hosts))
         host = fleet.hosts[name]
         with fleet.serving(name):
             request = make_request(number, seconds=800)
@@ -156,7 +156,7 @@
             await fleet.start()
         tickets = {}
         for number in range(TICKETS):
-            nursery.start_soon(submit_until_kept, fleet, number, tickets)
+            nursery.start_soon(submit_until_accepted, fleet, number, tickets)
             await trio.sleep(0.3)
             if number == 1:
                 nursery.start_soon(first, fleet)
@@ -181,7 +181,7 @@
             await fleet.start()
         tickets = {}
         for number in range(40):
-            await submit_until_kept(fleet, number, tickets)
+            await submit_until_accepted(fleet, number, tickets)
         for ticket in tickets.values():
             assert isinstance(await fetch_answer(fleet, ticket), StoredAnswer)
         assert set(fleet.work.runs.values()) == {1}
@@ -227,7 +227,7 @@
         cut_off = await fleet.start()
         other = await fleet.start()
         tickets = {}
-        await submit_until_kept(fleet, 0, tickets)
+        await submit_until_accepted(fleet, 0, tickets)
         await trio.sleep(10)
         cut_off.log.faults.outage = True
         fleet.work.busy = False
@@ -303,7 +303,7 @@
         host = await fleet.start()
         tickets = {}
         for number in range(10):
-            await submit_until_kept(fleet, number, tickets)
+            await submit_until_accepted(fleet, number, tickets)
         while not fleet.work.runs:
             await trio.sleep(0.01)
         await host.queue.drain()
--- a/agatetack/deferred/writer.py
+++ b/agatetack/deferred/writer.py
@@ -65,7 +65,7 @@
     outcome: AppendOutcome | None = None
 
 
-class Pacer:
+class AppendRateLimiter:
     """Limits the rate of a host's appends, summed over all partitions."""
 
     def __init__(self, settings: Settings, clock: Clock):
@@ -79,13 +79,13 @@
         self.tokens = self.burst
         self.filled_at: Deadline | None = None
 
-    async def take(self) -> None:
+    async def acquire(self) -> None:
         """Wait until one more append is allowed."""
         while True:
             now = self.clock.now()
             if self.filled_at is not None:
-                gained = (now - self.filled_at) * self.per_second
-                self.tokens = min(self.burst, self.tokens + gained)
+                refilled = (now - self.filled_at) * self.per_second
+                self.tokens = min(self.burst, self.tokens + refilled)
             self.filled_at = now
             if self.tokens >= 1:
                 self.tokens -= 1
@@ -104,7 +104,7 @@
         settings: Settings,
         log: Log,
         stream: StreamId,
-        pacer: Pacer,
+        rate_limiter: AppendRateLimiter,
         metrics: Metrics,
         clock: Clock,
     ):
@@ -112,7 +112,7 @@
         self.settings = settings
         self.log = log
         self.stream = stream
-        self.pacer = pacer
+        self.rate_limiter = rate_limiter
         self.metrics = metrics
         self.clock = clock
         self.queue: collections.deque[PendingEntry] = collections.deque()
@@ -125,7 +125,7 @@
             size_of(entry) + ENTRY_OVERHEAD_BYTES + COPY_OVERHEAD_BYTES <= limit
         )
 
-    def put(
+    def enqueue(
         self, entry: Entry, needed: Callable[[], bool] = lambda: True
     ) -> PendingEntry:
         """Queue an entry that fits; the caller waits for its `done`."""
@@ -147,7 +147,7 @@
 
     async def write(self, entry: Entry) -> AppendOutcome:
         """Append an entry and return the outcome."""
-        pending = self.put(entry)
+        pending = self.enqueue(entry)
         try:
             await pending.done.wait()
         finally:
@@ -162,7 +162,7 @@
                 await self.wake.wait()
             # Wait briefly, so that entries queued together share an append.
             await trio.sleep(self.settings.deferred.append_interval_seconds)
-            await self.pacer.take()
+            await self.rate_limiter.acquire()
             batch = self._take_batch()
             if batch:
                 await self._append(batch)
@@ -174,7 +174,7 @@
         batch: list[PendingEntry] = []
         while self.queue and len(batch) < MAX_BATCH_ENTRIES:
             if not self.queue[0].needed():
-                self._end(self.queue.popleft(), AppendOutcome.NEEDLESS)
+                self._complete(self.queue.popleft(), AppendOutcome.NEEDLESS)
                 continue
             free_bytes -= self.queue[0].size
             # An entry too large for any record is sent alone and refused.
@@ -203,9 +203,9 @@
             outcome = AppendOutcome.LANDED
         self._count(outcome.value, len(batch))
         for pending in batch:
-            self._end(pending, outcome)
+            self._complete(pending, outcome)
 
-    def _end(self, pending: PendingEntry, outcome: AppendOutcome) -> None:
+    def _complete(self, pending: PendingEntry, outcome: AppendOutcome) -> None:
         pending.outcome = outcome
         pending.done.set()
 
