--- a/agatetack/deferred/log_queue.py
+++ b/agatetack/deferred/log_queue.py
@@ -10,7 +10,6 @@
 from agatetack.deferred.counters import Counters
 from agatetack.deferred.fetcher import Fetcher
 from agatetack.deferred.host_ranking import HostRanking
-from agatetack.deferred.maintenance import TicketMaintenance
 from agatetack.deferred.partition import Partition
 from agatetack.deferred.queue import (
     DeferredQueue,
@@ -22,6 +21,7 @@
 from agatetack.deferred.schedule import Schedule
 from agatetack.deferred.steady import SteadyClock
 from agatetack.deferred.submitter import Submitter
+from agatetack.deferred.upkeep import TicketMaintenance
 from agatetack.deferred.writer import AppendRateLimiter
 from agatetack.ids import Deadline, TicketId
 from agatetack.messages import CallerRequest
--- a/bench/deferred_slopes.py
+++ b/bench/deferred_slopes.py
@@ -16,7 +16,6 @@
 from agatetack.deferred.ends import split_answer
 from agatetack.deferred.fold import Ticket
 from agatetack.deferred.log_queue import LogDeferredQueue
-from agatetack.deferred.maintenance import TicketMaintenance
 from agatetack.deferred.queue import StoredAnswer
 from agatetack.deferred.records import (
     decode_batch,
@@ -25,6 +24,7 @@
     make_submission,
     new_ticket,
 )
+from agatetack.deferred.upkeep import TicketMaintenance
 from agatetack.generated.deferred.ttypes import Entry, Hold, Start
 from agatetack.ids import AttemptId, LogOffset, WallTime
 from agatetack.messages import Header
