--- a/agatetack/serving/__init__.py
+++ b/agatetack/serving/__init__.py
@@ -1,1 +1,1 @@
-"""Serve each request as the class of its route says."""
+"""Run each request as its route's request class requires."""
--- a/agatetack/serving/deferred_runners.py
+++ b/agatetack/serving/deferred_runners.py
@@ -1,4 +1,4 @@
-"""Run requests that may wait: keep them, and run them at low priority."""
+"""Queue deferred requests and run them at low priority."""
 
 from returns.result import Failure, Result, Success
 
@@ -16,17 +16,17 @@
 
 
 class DeferredRunner(ClassRunner):
-    """Keeps requests that may wait and answers with a ticket."""
+    """Queues deferred requests and answers each with a ticket."""
 
     def __init__(self, settings: Settings, queue: DeferredQueue):
-        """Keep requests in `queue`."""
+        """Store requests in `queue`."""
         self.settings = settings
         self.queue = queue
 
     async def run(
         self, route: Route, request: CallerRequest
     ) -> Result[Answer, Refusal]:
-        """Return 202 with the ticket, or why the request is not kept."""
+        """Return 202 with the ticket, or the refusal if it was not queued."""
         kept = await self.queue.submit(route, request)
         if isinstance(kept, Failure):
             return kept
@@ -40,7 +40,7 @@
 
 
 class LowPriorityExecutor(Executor):
-    """Runs deferred requests on slots that other routes leave free."""
+    """Runs deferred requests on target slots unused by other routes."""
 
     def __init__(self, settings: Settings, attempts: AttemptRunner):
         """Run requests with `attempts`."""
--- a/agatetack/serving/dispatcher.py
+++ b/agatetack/serving/dispatcher.py
@@ -1,4 +1,4 @@
-"""Turn each request into an answer: match, check, run, refuse."""
+"""Match each request to a route, check it, and run or refuse it."""
 
 import abc
 import dataclasses
@@ -34,27 +34,27 @@
 from agatetack.settings.model import Settings
 
 COME_BACK_STATUSES = frozenset({429, 503})
-"""Refusals that always say when to come back."""
+"""Statuses of refusals that always carry a Retry-After header."""
 
 FIRST_FAILURE = 500
-"""The least status that says that the target failed."""
+"""The lowest status that counts as a failure of the target."""
 
 log = PartLog("serving")
 decisions = DecisionLog("serving")
 
 
 class ClassRunner(abc.ABC):
-    """A way to run the requests of one class."""
+    """Runs the requests of one request class."""
 
     @abc.abstractmethod
     async def run(
         self, route: Route, request: CallerRequest
     ) -> Result[Answer, Refusal]:
-        """Return the answer, or why there is none."""
+        """Return the answer, or the refusal if there is none."""
 
 
 class Dispatcher(Handler):
-    """Answers every request of a host; a draining host serves what comes."""
+    """Answers every request to a host, also while the host drains."""
 
     def __init__(
         self,
@@ -67,18 +67,18 @@
         metrics: Metrics,
         accepting: Callable[[], bool] = lambda: True,
     ):
-        """Run each class with its runner.
+        """Run the requests of each class with its runner.
 
         Args:
             settings: The host's settings.
             routes: The routes in force.
             runners: One runner for each class.
-            tickets: Answers polls for deferred requests, if there are any.
-            crashes: Refuses requests that crash targets.
-            explanations: Keeps why requests ended as they did.
+            tickets: Answers polls for deferred requests; None if not offered.
+            crashes: Refuses requests that are suspected of crashing targets.
+            explanations: Records how and why the latest requests ended.
             metrics: The host's counters.
-            accepting: Whether new requests are taken; late in a drain they
-                are refused, so that they can't put off its end.
+            accepting: Whether new requests are accepted; late in a drain they
+                are refused, so that they can't delay its end.
         """
         self.accepting = accepting
         self.splitter = Splitter()
@@ -105,7 +105,7 @@
             route = self.splitter.choose(found)
             result = await self._run(route, request)
         except (CallerGone, trio.Cancelled):
-            # Nobody is left to answer; who serves the connection counts it.
+            # There is no caller to answer. The connection counts the refusal.
             self._finish(route, request, Importance.FAILED, "caller-gone")
             raise
         except TooLarge as error:
@@ -169,7 +169,7 @@
                 request.arrived + route.deadline_seconds
             )
         if route.timeout_seconds:
-            # Operators want nobody to be kept waiting for longer.
+            # The operator's upper limit on the time that any caller waits.
             latest = Deadline(request.arrived + route.timeout_seconds)
             request.deadline = min(request.deadline, latest)
         length = request.body.length
@@ -234,7 +234,7 @@
         outcome: str,
         **fields: object,
     ) -> None:
-        """Write how a request ended, and the decisions about it."""
+        """Log how a request ended and the decisions made about it."""
         now = trio.current_time()
         decisions.finish(
             request.story,
@@ -253,7 +253,7 @@
 def _importance(
     route: Route, request: CallerRequest, answer: Answer, seconds: float
 ) -> Importance:
-    """Return whether an answered request's decisions are all wanted."""
+    """Return whether to log all decisions on an answered request."""
     wanted = route.target_latency_seconds
     late = wanted and seconds > wanted
     if late or answer.status >= FIRST_FAILURE or len(request.attempts) > 1:
@@ -262,10 +262,11 @@
 
 
 def _doubted(request: CallerRequest, refusal: Refusal) -> Refusal:
-    """Return a refusal that is true of earlier attempts with the key too.
+    """Set a refusal's outcome to unknown if the request has a key.
 
-    It is given before the key's claim is looked for, so an earlier attempt
-    may have run, and a caller who reads "not run" might use a new key.
+    The refusal is made before the key's claim is looked up, so an earlier
+    attempt with the same key may have run. A caller that reads "not run"
+    might repeat the request with a new key.
     """
     if request.key is None:
         return refusal
--- a/agatetack/serving/explain.py
+++ b/agatetack/serving/explain.py
@@ -1,4 +1,4 @@
-"""Remember what was done with the latest requests, for operators."""
+"""Keep the outcomes of the latest requests for operators to query."""
 
 import collections
 import dataclasses
@@ -14,12 +14,15 @@
 """Latest answered requests that are kept."""
 
 KEPT_REFUSED = 2_000
-"""Latest refused requests that are kept; a flood of answers spares them."""
+"""Latest refused requests that are kept.
+
+They are counted apart, so that many answered requests don't evict them.
+"""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RequestNote:
-    """What was done with one request.
+    """The outcome of one request and of its attempts.
 
     Attributes:
         request_id: The request.
@@ -28,8 +31,8 @@
         arrived: When it arrived.
         finished: When its answer's header was ready.
         status: The HTTP status sent to the caller.
-        refusal: Why the answer is not a target's own, or None.
-        attempts: What was done with it.
+        refusal: The refusal sent in place of a target's answer, or None.
+        attempts: The attempts to run it.
     """
 
     request_id: RequestId
@@ -58,7 +61,7 @@
 
 
 class Explanations:
-    """What one host did with the latest requests."""
+    """The latest answered and refused requests of one host."""
 
     def __init__(self) -> None:
         """Start empty."""
@@ -72,7 +75,7 @@
         status: int,
         refusal: Refusal | None = None,
     ) -> None:
-        """Remember what became of a request."""
+        """Record the outcome of a request."""
         note = RequestNote(
             request.request_id,
             None if route is None else route.id,
@@ -87,7 +90,7 @@
         kept.add(note)
 
     def find(self, request_id: RequestId) -> list[RequestNote]:
-        """Return what is known of a request, by arrival."""
+        """Return the notes on a request, ordered by arrival."""
         found = [
             latest.notes[request_id]
             for latest in (self.answered, self.refused)
--- a/agatetack/serving/runners.py
+++ b/agatetack/serving/runners.py
@@ -1,4 +1,4 @@
-"""Run each class of requests with the slice made for it."""
+"""Run the requests of each class with the package made for it."""
 
 from returns.result import Failure, Result, Success
 
@@ -13,7 +13,7 @@
 
 
 class FastRunner(ClassRunner):
-    """Runs requests that must be answered fast: retries and hedges."""
+    """Runs latency-critical requests, with retries and hedging."""
 
     def __init__(self, attempts: AttemptRunner):
         """Run requests with `attempts`."""
@@ -22,12 +22,12 @@
     async def run(
         self, route: Route, request: CallerRequest
     ) -> Result[Answer, Refusal]:
-        """Return the first answer, or why there is none."""
+        """Return the first answer, or the refusal if there is none."""
         return await self.attempts.run(route, request, hedged=True)
 
 
 class WholeRunner(ClassRunner):
-    """Runs requests whose large answers must be carried whole."""
+    """Runs requests whose large answers must arrive complete."""
 
     def __init__(self, attempts: AttemptRunner, metrics: Metrics):
         """Run requests with `attempts`."""
@@ -37,7 +37,7 @@
     async def run(
         self, route: Route, request: CallerRequest
     ) -> Result[Answer, Refusal]:
-        """Return an answer that is resumed where it is cut."""
+        """Return an answer whose body is resumed if it is cut off."""
         result = await self.attempts.run(route, request, hedged=False)
         if isinstance(result, Failure):
             return result
@@ -49,7 +49,7 @@
 
 
 class OnceClassRunner(ClassRunner):
-    """Runs requests that must never be repeated."""
+    """Runs at-most-once requests."""
 
     def __init__(self, once: OnceRunner):
         """Run requests with `once`."""
@@ -58,5 +58,5 @@
     async def run(
         self, route: Route, request: CallerRequest
     ) -> Result[Answer, Refusal]:
-        """Return the answer, or why there is none."""
+        """Return the answer, or the refusal if there is none."""
         return await self.once.run(route, request)
--- a/agatetack/serving/split.py
+++ b/agatetack/serving/split.py
@@ -1,4 +1,4 @@
-"""Spread a route's requests over the services that share them."""
+"""Split a route's requests among services by weight."""
 
 import dataclasses
 import random
@@ -9,15 +9,16 @@
 
 
 class _Turns:
-    """Whose turn it is among the parts of one split.
+    """Smooth weighted round-robin over the parts of one split.
 
-    Each part gains its share at each turn and pays a whole turn when it is
-    chosen, so that any stretch of turns holds the weights to within one
-    request; random choice would be off by a tenth for a hundred requests.
+    At each request every part gains its share as credit, and the part that
+    is chosen pays a credit of 1. Any run of consecutive requests therefore
+    matches the weights to within one request; random choice would be off by
+    a tenth for 100 requests.
     """
 
     def __init__(self, route: Route, source: random.Random):
-        """Start at a random point, as hosts would else choose alike."""
+        """Start with random credits, so that hosts don't choose in step."""
         total = sum(part.weight for part in route.split)
         self.route = route
         self.routes = [_with_service(route, part) for part in route.split]
@@ -25,7 +26,7 @@
         self.credits = [share * source.random() for share in self.shares]
 
     def next(self) -> Route:
-        """Return the route with the service whose turn it is."""
+        """Return the route with the next service."""
         for index, share in enumerate(self.shares):
             self.credits[index] += share
         chosen = max(range(len(self.credits)), key=self.credits.__getitem__)
@@ -34,10 +35,10 @@
 
 
 class Splitter:
-    """The turns of all routes that are split.
+    """Chooses a service for each request on routes with a split.
 
     Attributes:
-        turns: By route; a route whose split changed starts anew.
+        turns: Round-robin state by route; a changed route starts anew.
     """
 
     def __init__(self, seed: int | None = None):
@@ -48,8 +49,8 @@
     def choose(self, route: Route) -> Route:
         """Return `route` with the one service that runs the next request.
 
-        The choice does not look at whether the service has room: what does
-        not fit there is refused, as moving it would change the weights.
+        The service's free capacity is not considered: requests beyond it are
+        refused, as moving them to another service would change the weights.
         """
         if not route.split:
             return route
@@ -59,7 +60,7 @@
         return turns.next()
 
     def keep_only(self, routes: Sequence[RouteId]) -> None:
-        """Forget routes that are no more."""
+        """Drop the state of routes that no longer exist."""
         for gone in self.turns.keys() - set(routes):
             del self.turns[gone]
 
--- a/agatetack/serving/test_dispatcher.py
+++ b/agatetack/serving/test_dispatcher.py
@@ -102,7 +102,7 @@
 
 
 class NoCrashes(CrashTracker):
-    """Suspects nothing."""
+    """Suspects no request of crashing targets."""
 
     def check(self, route, request):
         return None
@@ -193,7 +193,7 @@
 
 
 class Stream(Body):
-    """A body without an announced length; an exception ends it."""
+    """A body without a Content-Length; an exception in `parts` is raised."""
 
     def __init__(self, *parts):
         self.parts = list(parts)
--- a/agatetack/serving/test_split.py
+++ b/agatetack/serving/test_split.py
@@ -1,4 +1,4 @@
-"""Test that splits hold their weights."""
+"""Test that splits follow their weights."""
 
 import collections
 import dataclasses
--- a/agatetack/serving/test_tickets.py
+++ b/agatetack/serving/test_tickets.py
@@ -1,4 +1,4 @@
-"""Check what polls for deferred requests are answered."""
+"""Check the answers to polls for deferred requests."""
 
 import pytest
 import trio
@@ -13,7 +13,7 @@
 
 
 class Queue:
-    """Finds what a test wants, and remembers how long it could wait."""
+    """Returns a scripted result and records the deadline of the wait."""
 
     def __init__(self, found):
         self.found = found
--- a/agatetack/serving/tickets.py
+++ b/agatetack/serving/tickets.py
@@ -28,7 +28,7 @@
         self.metrics = metrics
 
     async def handle(self, request: CallerRequest) -> Answer:
-        """Return the result, 202 while it is open, or a refusal."""
+        """Return the stored answer, 202 if it is pending, or a refusal."""
         prefix = self.settings.callers.ticket_path.encode()
         path, _, query = request.path.removeprefix(prefix).partition(b"?")
         ticket = TicketId(path.decode("latin-1"))
@@ -52,7 +52,7 @@
 
     def _wait_until(self, request: CallerRequest, query: str) -> Deadline:
         wanted = urllib.parse.parse_qs(query).get("wait-ms", ["0"])[0]
-        # A float takes numbers of any length, and none of them overflows.
+        # float() accepts any number of digits; too large a number is infinity.
         wait_ms = float(wanted) if wanted.isdecimal() else 0.0
         longest = self.settings.deferred.max_wait_seconds
         until = trio.current_time() + min(wait_ms / 1000, longest)
