--- a/agatetack/callers/bounded.py
+++ b/agatetack/callers/bounded.py
@@ -1,4 +1,4 @@
-"""Cut a streamed request body off at a bound."""
+"""Limit the size of a streamed request body."""
 
 import dataclasses
 
@@ -15,30 +15,30 @@
 
 
 class TooLarge(Exception):
-    """A request's body turned out to be larger than its bound.
+    """A request's body is larger than its limit.
 
     Attributes:
-        max_bytes: The bound.
+        max_bytes: The limit.
     """
 
     def __init__(self, max_bytes: int):
-        """Keep the bound."""
+        """Store the limit."""
         super().__init__(f"the body has more than {max_bytes} bytes")
         self.max_bytes = max_bytes
 
     def refusal(self) -> Refusal:
-        """Return the refusal; a target may have run what it got by then."""
+        """Return the refusal; a target may have run the part it received."""
         return dataclasses.replace(
             too_large(self.max_bytes), outcome=Outcome.UNKNOWN
         )
 
 
 class BoundedBody(Body):
-    """A request's body that is cut off at a bound.
+    """A request's body that raises an error beyond a limit.
 
     Attributes:
-        max_bytes: The bound.
-        left: Bytes that may still come.
+        max_bytes: The limit.
+        left: Bytes that may still be received.
     """
 
     def __init__(self, body: Body, max_bytes: int):
@@ -52,8 +52,8 @@
         """Return the next bytes.
 
         Raises:
-            TooLarge: More came than the bound.
-            CallerGone: The body was cut.
+            TooLarge: The body exceeds the limit.
+            CallerGone: The body was cut off.
         """
         data = await self.body.receive()
         self.left -= len(data)
--- a/agatetack/callers/connection.py
+++ b/agatetack/callers/connection.py
@@ -31,10 +31,10 @@
 RECEIVE_BYTES = 64 * 1024
 
 WATCH_SECONDS = 0.25
-"""How often connections are looked over for callers that hang."""
+"""Interval between checks for stalled or lost callers."""
 
 LINGER_SECONDS = 1.0
-"""How long a caller that still sends may take to read its last answer."""
+"""Time to read the last answer for a caller that is still sending."""
 
 UNPARSED_ID = RequestId("-")
 """The id of a request whose header could not be read."""
@@ -43,13 +43,13 @@
 class CallerConnection:
     """One caller's connection, served by one task.
 
-    Bytes are read only as they are asked for, so a caller that sends faster
-    than its requests are taken is held back by TCP.
+    Bytes are read only on demand, so TCP flow control slows down a caller
+    that sends faster than its requests are handled.
 
     Attributes:
-        busy: Whether a request has been begun and not yet answered.
-        closing: Whether the connection ends after the request at hand.
-        answered: Whether the last request's answer was written whole.
+        busy: Whether a request has started and is not yet answered.
+        closing: Whether the connection ends after the current request.
+        answered: Whether the last request's answer was written completely.
     """
 
     def __init__(
@@ -80,7 +80,7 @@
     async def serve(self) -> None:
         """Answer requests until the connection ends, then close it.
 
-        A lost caller ends everything that is under way for it.
+        If the caller is lost, everything that runs for it is cancelled.
         """
         try:
             with self.scope:
@@ -95,9 +95,9 @@
         await self._answer_all()
 
     def close_politely(self) -> None:
-        """End the connection now if idle, else after the request at hand.
+        """Close the connection now if idle, else after the current request.
 
-        A request whose bytes are here but unread is at hand too.
+        A request that has arrived but is still unread counts as current.
         """
         self.closing = True
         if not self.busy and self._is_between_requests():
@@ -115,7 +115,7 @@
         return transport if isinstance(transport, PlainStream) else None
 
     def overdue(self, now: Deadline) -> bool:
-        """Return whether the caller keeps this connection waiting too long."""
+        """Return whether a timeout of this connection has expired."""
         limits = self.settings
         sending_since = self.writer.sending_since
         if sending_since is not None:
@@ -133,9 +133,9 @@
     def is_lost(self) -> bool:
         """Return whether the caller reset the connection while it waits.
 
-        While a request is served nobody reads from its connection, so that
-        the loss has to be looked for. A caller that only sends no more still
-        gets its answer.
+        No task reads from the connection while a request is served, so a
+        reset has to be polled for. A caller that has only closed its sending
+        side still gets its answer.
         """
         if not self.busy:
             return False
@@ -143,12 +143,12 @@
         return transport is not None and transport.is_reset()
 
     def cut(self) -> None:
-        """End the connection at once, whatever is under way."""
+        """Reset the connection at once and cancel what runs for it."""
         abort(self.stream)
         self.scope.cancel()
 
     async def _read_more(self) -> None:
-        """Read once and parse what came.
+        """Read once and parse the bytes received.
 
         Raises:
             CallerGone: The connection is lost.
@@ -163,7 +163,7 @@
         self._take(data)
 
     def _take(self, data: bytes) -> None:
-        """Parse what came, or take the end."""
+        """Parse received bytes; no bytes mean the end of the stream."""
         if not data:
             self.ended = True
             self.parser.end()
@@ -195,9 +195,10 @@
             self.idle_since = Deadline(trio.current_time())
 
     async def _linger(self) -> None:
-        """Drop what the caller still sends after its last answer.
+        """Read and discard what the caller sends after its last answer.
 
-        A close with bytes unread is a reset, which can overtake the answer.
+        Closing a socket with unread bytes sends a reset, which can overtake
+        the answer.
         """
         transport = self._transport()
         if transport is None or not self.answered or self.ended:
@@ -213,11 +214,11 @@
     async def _answer_one(
         self, parsed: ParsedRequest, turn: trio.Event | None = None
     ) -> bool:
-        """Answer one request, and return whether to go on.
+        """Answer one request and return whether to keep the connection.
 
         Args:
             parsed: The request.
-            turn: Set once its answer may be written; None if it may now.
+            turn: Set once its answer may be written; None if it may be now.
         """
         try:
             answer = await self._make_answer(parsed)
@@ -226,7 +227,7 @@
             self.answered = False
             return await self._write(parsed, answer)
         except AnswerCut:
-            # The reset tells the caller that its answer is not whole.
+            # The reset signals to the caller that the answer is incomplete.
             abort(self.stream)
             return False
         except (CallerGone, trio.BrokenResourceError):
@@ -290,10 +291,10 @@
 
         Args:
             parsed: The request.
-            deadline: When the caller gives up; None for as long as any may.
+            deadline: When the caller gives up; None for the longest deadline.
 
         Returns:
-            A refusal if the body did not come by the deadline.
+            A refusal if the body did not arrive by the deadline.
         """
         body = parsed.body
         if body.complete and body.received <= self.settings.max_body_bytes:
@@ -333,8 +334,7 @@
         """Return whether the connection ends with the answer to `parsed`."""
         if parsed.head is None:
             return True
-        # A body that was not read to its end leaves its rest on the
-        # connection, where it would be taken for the next request.
+        # The unread rest of a body would be parsed as the next request.
         return (
             (self.closing and self._may_close())
             or not parsed.head.keep_alive
@@ -348,7 +348,7 @@
 
 
 async def _wait_turn(turn: trio.Event, answer: Answer) -> None:
-    """Wait for `turn`; an answer that is given up meanwhile is freed."""
+    """Wait for `turn`; close the answer if the wait is cancelled."""
     try:
         await turn.wait()
     except BaseException:
@@ -358,9 +358,9 @@
 
 
 async def watch(connections: Collection[CallerConnection]) -> None:
-    """Cut off callers that hang or are gone; runs for ever.
+    """Reset connections of stalled or lost callers; runs forever.
 
-    One watch over all connections costs less than a timeout around each
+    One periodic check of all connections costs less than a timeout around each
     receive and send, and none of these timeouts needs to be exact.
     """
     while True:
--- a/agatetack/callers/head.py
+++ b/agatetack/callers/head.py
@@ -1,4 +1,4 @@
-"""Turn the header of a parsed HTTP request into what the slices need."""
+"""Read destination, ids and deadline from an HTTP request's header."""
 
 import dataclasses
 import math
@@ -14,7 +14,7 @@
 from agatetack.unique import unique_name
 
 MAX_KEY_LENGTH = 256
-"""Longest idempotency key and request id, in bytes."""
+"""Maximum length of idempotency keys and request ids, in bytes."""
 
 DOT_SEGMENT = re.compile(rb"/(\.|%2e){1,2}(/|$)", re.IGNORECASE)
 ABSOLUTE_FORM = re.compile(rb"^https?://([^/?#]*)(.*)$", re.IGNORECASE)
@@ -44,7 +44,7 @@
 
 @dataclasses.dataclass(slots=True)
 class Addressing:
-    """Where a request goes and how it is named.
+    """Destination, identifiers and deadline of a request.
 
     Attributes:
         path: Path and query, starting with `/` (or `*`).
@@ -77,12 +77,12 @@
 def read_addressing(
     head: RequestHead, settings: CallersSettings, peer_ip: str
 ) -> Result[Addressing, Refusal]:
-    """Return where a request goes, or why its header is refused.
+    """Return a request's destination, or why its header is refused.
 
     Args:
         head: The parsed header.
         settings: Names of headers, and bounds of deadlines.
-        peer_ip: The caller's IP number, its name if it gives no other.
+        peer_ip: The caller's IP address, its name if it sends none.
     """
     place = _read_place(head)
     if isinstance(place, Failure):
@@ -114,10 +114,10 @@
 
 
 def _read_place(head: RequestHead) -> Result[_Place, Refusal]:
-    """Return where a request goes.
+    """Return the path and host of a request.
 
-    Targets and other readers must not see another path than the one that the
-    route was chosen by, so what they could read in two ways is refused.
+    Targets and proxies have to see the path that the route was chosen by, so
+    requests that can be read in two ways are refused.
     """
     hosts = [h.value for h in head.headers if h.name == b"host"]
     if len(hosts) > 1 or (not hosts and head.version == "1.1"):
@@ -180,6 +180,6 @@
 
 
 def content_length(headers: Headers) -> int | None:
-    """Return the announced length in bytes, or None; checked by the parser."""
+    """Return Content-Length, or None; the parser has validated it."""
     value = find_header(headers, b"content-length")
     return None if value is None else int(value)
--- a/agatetack/callers/parser.py
+++ b/agatetack/callers/parser.py
@@ -12,14 +12,14 @@
 from agatetack.outcomes import Refusal, RefusalReason, refuse
 
 ReadMore = Callable[[], Awaitable[None]]
-"""Reads once from the caller and gives the bytes to the parser."""
+"""Reads once from the caller and feeds the bytes to the parser."""
 
 
 class RequestBody(Body):
-    """A request's body, read from the caller as it is asked for.
+    """A request's body, read from the caller on demand.
 
     Attributes:
-        received: Bytes received so far, taken or not.
+        received: Bytes received so far, consumed or not.
         complete: Whether the last byte was received.
         lost: Whether no more bytes can come.
     """
@@ -35,7 +35,7 @@
 
     @property
     def held_bytes(self) -> int:
-        """Return how many bytes were received and not taken."""
+        """Return how many bytes were received but not consumed."""
         return sum(map(len, self.parts))
 
     def feed(self, data: bytes) -> None:
@@ -44,7 +44,7 @@
         self.received += len(data)
 
     def receive_nowait(self) -> bytes | None:
-        """Return bytes received already, or None."""
+        """Return the bytes already received, or None."""
         if not self.parts:
             return None
         data = b"".join(self.parts)
@@ -68,9 +68,9 @@
     """One request: its header and the body that is still arriving.
 
     Attributes:
-        head: The header, or None if the request can't be understood.
-        body: The body, or None likewise.
-        refusal: Why it is refused before anything else, or None.
+        head: The header, or None if it can't be parsed.
+        body: The body, or None if the header can't be parsed.
+        refusal: Why it is refused before it is handled, or None.
         expects_continue: Whether the caller waits for `100 Continue`.
     """
 
@@ -80,7 +80,7 @@
         body: RequestBody | None,
         refusal: Refusal | None = None,
     ):
-        """Hold a request."""
+        """Store the parts of a request."""
         self.head = head
         self.body = body
         self.refusal = refusal
@@ -93,7 +93,7 @@
     Attributes:
         ready: Requests whose header is complete, oldest first.
         broken: Whether no more requests can be read.
-        head_since: When the header under way was begun.
+        head_since: When the current header began.
         framing_bytes: Bytes received since the last byte of a body.
     """
 
@@ -101,8 +101,8 @@
         """Refuse headers larger than `max_header_bytes`.
 
         Args:
-            max_header_bytes: Bound of one header.
-            read_more: How a body gets the bytes that it lacks.
+            max_header_bytes: Maximum size of one header.
+            read_more: Called by a body to receive more bytes.
         """
         self.read_more = read_more
         self.max_header_bytes = max_header_bytes
@@ -121,19 +121,19 @@
 
     @property
     def idle(self) -> bool:
-        """Return whether no request has been begun and not ended."""
+        """Return whether no request is being received."""
         return not self.in_head and self.body is None
 
     def feed(self, data: bytes) -> None:
-        """Take bytes of the connection; results appear in `ready`."""
+        """Parse received bytes; requests appear in `ready`."""
         if self.broken:
             return
         self.framing_bytes += len(data)
         try:
             self.parser.feed_data(data)
         except httptools.HttpParserUpgrade:
-            # No other protocol is spoken here, and what follows can't be
-            # told apart from one, so the connection ends with this request.
+            # Upgrades are not supported, and the next bytes may belong to
+            # the other protocol, so the connection ends with this request.
             self.broken = True
         except httptools.HttpParserError as error:
             self._break(RefusalReason.MALFORMED_REQUEST, str(error))
@@ -141,14 +141,14 @@
             self.head_bytes += len(data)
             self.head_too_large |= self.head_bytes > 2 * self.max_header_bytes
         if self.body is not None and not self.broken:
-            # The parser below keeps a trailer until its end, however long.
+            # httptools buffers a trailer of any length until its end.
             limit = 2 * self.max_header_bytes
             self.head_too_large |= self.framing_bytes > limit
         if self.head_too_large:
             self._break_too_large()
 
     def end(self) -> None:
-        """Take the end of the connection's bytes."""
+        """Handle the end of the stream."""
         if self.body is not None:
             self.body.lost = True
 
@@ -178,12 +178,12 @@
         self.in_trailer = False
 
     def on_url(self, url: bytes) -> None:
-        """Take a part of the request target; called by the parser."""
+        """Add a part of the request target; called by the parser."""
         self.target += url
         self._count(len(url))
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Take a header field; called by the parser."""
+        """Add a header field; called by the parser."""
         self._count(len(name) + len(value) + 4)
         if not self.in_trailer:
             self.headers.append(Header(name.lower(), value))
@@ -194,7 +194,7 @@
             self.head_too_large = True
 
     def on_headers_complete(self) -> None:
-        """Offer the request to the handler; called by the parser."""
+        """Add the request to `ready`; called by the parser."""
         if self.broken:
             return
         self.in_head = False
@@ -225,10 +225,10 @@
         self.ready.append(request)
 
     def _framing_is_clear(self) -> bool:
-        """Return whether everyone would see the body end at the same byte.
+        """Return whether all parsers agree on where the body ends.
 
-        The parser takes a coding that it does not know for no body, and
-        others may not (RFC 9112, 6.1).
+        httptools assumes no body for an unknown transfer coding, and other
+        parsers may not (RFC 9112, 6.1).
         """
         for name, value in self.headers:
             if name == b"transfer-encoding":
@@ -237,7 +237,7 @@
         return True
 
     def on_body(self, data: bytes) -> None:
-        """Take body bytes; called by the parser."""
+        """Add body bytes; called by the parser."""
         if self.body is not None:
             self.body.feed(data)
             self.framing_bytes = 0
--- a/agatetack/callers/problem.py
+++ b/agatetack/callers/problem.py
@@ -14,7 +14,7 @@
 
 
 def refusal_status(refusal: Refusal, settings: CallersSettings) -> int:
-    """Return the HTTP status of a refusal, as the settings may change it."""
+    """Return the HTTP status of a refusal, with the settings' overrides."""
     own = settings.refusal_statuses.get(refusal.reason.value)
     status = refusal.status if own is None else own
     if settings.statuses_promise:
@@ -25,12 +25,12 @@
 def refusal_answer(
     refusal: Refusal, request_id: RequestId, settings: CallersSettings
 ) -> Answer:
-    """Return the answer that tells a caller why and what became of it.
+    """Return an answer with a refusal's reason and the request's outcome.
 
     Args:
         refusal: Why the request is not answered by a target.
         request_id: The request's id, so that operators can find it.
-        settings: Names of headers, and statuses that differ.
+        settings: Names of headers, and overrides of statuses.
     """
     names = settings.headers
     status = refusal_status(refusal, settings)
@@ -55,6 +55,6 @@
 
 
 def _seconds_text(seconds: float, decimals: int) -> bytes:
-    """Return `seconds`, rounded up so that nobody comes back too early."""
+    """Return `seconds`, rounded up so that no caller retries too early."""
     unit = 10**decimals
     return b"%.*f" % (decimals, math.ceil(seconds * unit) / unit)
--- a/agatetack/callers/read_ahead.py
+++ b/agatetack/callers/read_ahead.py
@@ -1,7 +1,8 @@
-"""Serve a connection while it is read, for pipelines and callers that leave.
+"""Read from a connection while its requests are being served.
 
-A connection that is read only between requests notices neither that its
-caller has gone nor that more requests came, until the answer is written.
+This allows pipelining and early detection of lost callers. A connection that
+is read only between requests notices neither that its caller has gone nor
+that more requests have arrived until the answer is written.
 """
 
 import trio
@@ -13,29 +14,32 @@
 from agatetack.outcomes import RefusalReason
 
 SAFE_METHODS = frozenset({b"GET", b"HEAD"})
-"""Methods whose requests may be begun before earlier ones are answered
+"""Methods whose requests may start before earlier ones are answered
 (RFC 9112, 9.3.2)."""
 
 MOST_READ_REQUESTS = 64
-"""Requests read and not begun; then TCP holds the caller back."""
+"""Maximum of requests read but not started; then reading pauses."""
 
 MOST_READ_BYTES = 256 * 1024
-"""Bytes of a body read and not yet passed on; likewise."""
+"""Maximum of body bytes read but not consumed; then reading pauses.
+
+TCP flow control slows down the caller while reading is paused.
+"""
 
 
 class ReadAheadConnection(CallerConnection):
     """A connection that one task reads while others answer its requests.
 
     Attributes:
-        under_way: Requests begun and not yet answered whole.
-        progress: Set, and replaced, when bytes or the end came.
-        wanted: Set when there is room for more bytes.
-        answered_one: Set, and replaced, when a request was answered.
+        under_way: Requests started and not yet fully answered.
+        progress: Set and replaced when bytes or the stream's end arrive.
+        wanted: Set when a request or body needs more bytes.
+        answered_one: Set and replaced when a request was answered.
         lost: Whether the connection is lost.
     """
 
     def __init__(self, *args, **kwargs):
-        """Take what `CallerConnection` takes."""
+        """Take the arguments of `CallerConnection`."""
         super().__init__(*args, **kwargs)
         self.under_way = 0
         self.progress = trio.Event()
@@ -67,10 +71,10 @@
             self.cut()
 
     def _read_rest(self) -> None:
-        """Read what has come besides, up to the end if that is here.
+        """Read all bytes that have arrived, and the stream's end if it has.
 
-        A host that was busy or paused finds requests whose callers have long
-        gone; the end right behind them tells.
+        A host that was busy or paused finds requests whose callers left long
+        ago; the end of the stream right after such a request shows it.
 
         Raises:
             trio.BrokenResourceError: The connection is lost.
@@ -85,11 +89,11 @@
             self._take(data)
 
     def _is_gone(self) -> bool:
-        """Return whether the caller waits for no answer any more."""
+        """Return whether the caller no longer waits for answers."""
         return self.lost or (self.ended and self.settings.end_means_gone)
 
     def _drop_if_gone(self) -> None:
-        """Begin no request of a caller that has gone."""
+        """Drop the waiting requests of a caller that has gone."""
         if self._is_gone() and self.parser.ready:
             self.parser.ready.clear()
             self.metrics.refused(None, RefusalReason.CALLER_GONE)
@@ -101,7 +105,7 @@
         return body is not None and body.held_bytes >= MOST_READ_BYTES
 
     async def _read_more(self) -> None:
-        """Wait until the reading task has brought something.
+        """Wait until the reading task has received something.
 
         Raises:
             CallerGone: The connection is lost.
@@ -134,7 +138,7 @@
     async def _wait_for_room(
         self, parsed: ParsedRequest, before: trio.Event
     ) -> None:
-        """Wait until `parsed` may be begun beside the earlier requests."""
+        """Wait until `parsed` may run beside the earlier requests."""
         if not _is_plain(parsed):
             await before.wait()
         while self.under_way > self.settings.pipeline_depth:
@@ -149,7 +153,7 @@
     ) -> None:
         """Answer a request after the earlier ones of the connection.
 
-        What came behind an answer that ends the connection is given up.
+        Requests after an answer that ends the connection are cancelled.
         """
         keep = await self._answer_one(parsed, before)
         self.under_way -= 1
@@ -163,12 +167,12 @@
             rest.cancel()
 
     def _may_close(self) -> bool:
-        """Return whether nothing came behind the request being answered."""
+        """Return whether no request follows the one being answered."""
         return self.under_way <= 1 and not self.parser.ready
 
 
 def _is_plain(parsed: ParsedRequest) -> bool:
-    """Return whether a request has a safe method and no body to come."""
+    """Return whether a request has a safe method and is complete."""
     head = parsed.head
     return (
         head is not None
--- a/agatetack/callers/server.py
+++ b/agatetack/callers/server.py
@@ -15,10 +15,10 @@
 from agatetack.tls import ServerTls
 
 ACCEPT_RETRY_SECONDS = 0.1
-"""Pause after accept failed, as for lack of file descriptors."""
+"""Pause after accept failed, for example for lack of file descriptors."""
 
 END_POLL_SECONDS = 0.02
-"""How often a closed listener looks whether its connections have ended."""
+"""Interval at which a closed listener checks for open connections."""
 
 log = PartLog("callers")
 
@@ -28,9 +28,9 @@
 
     Attributes:
         connections: Open connections.
-        limits: What callers may do now.
-        closing: Whether each connection ends after its request.
-        ended: Set once nobody is accepted any more and none is open.
+        limits: The settings in force for callers.
+        closing: Whether each connection ends after its current request.
+        ended: Set once the listener and all connections are closed.
         port: The port listened on, once `run` has started.
     """
 
@@ -58,7 +58,7 @@
     async def run(
         self, task_status: trio.TaskStatus[int] = trio.TASK_STATUS_IGNORED
     ) -> None:
-        """Listen until `stop_accepting`; then serve what is open to its end.
+        """Listen until `stop_accepting`, then serve connections to their end.
 
         The port is reported through `task_status`.
         """
@@ -97,13 +97,13 @@
     def _accept_rest(
         self, listener: PlainListener, nursery: trio.Nursery
     ) -> None:
-        """Take what waits to be accepted; closing would reset it."""
+        """Accept pending connections; closing the listener would reset them."""
         with contextlib.suppress(OSError):
             while (stream := listener.accept_nowait()) is not None:
                 self._begin(stream, nursery)
 
     def _begin(self, stream: PlainStream, nursery: trio.Nursery) -> None:
-        """Serve a connection, which counts as open from here on."""
+        """Start to serve a connection, which counts as open from now on."""
         if len(self.connections) >= self.limits.max_connections:
             self.metrics.dropped.inc(
                 {"part": "callers", "reason": "too-many-connections"}
@@ -143,18 +143,18 @@
         return stream if self.tls is None else self.tls.accept_stream(stream)
 
     def limit(self, callers: CallersSettings) -> None:
-        """Serve open and new connections by `callers` from now on."""
+        """Apply `callers` to open and new connections."""
         self.limits = callers
         for connection in self.connections:
             connection.settings = callers
             connection.parser.max_header_bytes = callers.max_header_bytes
 
     def stop_accepting(self) -> None:
-        """Close the listener; open connections are served on."""
+        """Close the listener; open connections are still served."""
         self.accepting.cancel()
 
     def close_idle(self) -> None:
-        """End idle connections, and busy ones after their request."""
+        """Close idle connections now, and busy ones after their request."""
         self.closing = True
         for connection in list(self.connections):
             connection.close_politely()
--- a/agatetack/callers/test_connection.py
+++ b/agatetack/callers/test_connection.py
@@ -1,4 +1,4 @@
-"""Check what one caller's connection does with good and bad bytes."""
+"""Check how one connection handles valid and invalid requests."""
 
 import contextlib
 import re
@@ -47,7 +47,7 @@
 
 
 class Echo(Handler):
-    """Answers with method, path and body; knows a few special paths."""
+    """Answers with method, path and body, except on a few paths."""
 
     def __init__(self):
         self.requests: list[CallerRequest] = []
@@ -87,7 +87,7 @@
 
 
 async def read_all(stream, seconds=1.0):
-    """Return what comes until the end, or until nothing comes for long."""
+    """Return what is received until the end, for `seconds` at most."""
     data = b""
     with trio.move_on_after(seconds):
         while part := await stream.receive_some():
--- a/agatetack/callers/test_fuzz.py
+++ b/agatetack/callers/test_fuzz.py
@@ -1,4 +1,4 @@
-"""Check that no bytes of a caller end in anything but answers."""
+"""Check that any bytes from a caller lead to valid answers only."""
 
 import hypothesis
 import trio
@@ -70,5 +70,5 @@
     received = trio.run(feed, parts, clock=clock)
     assert set(statuses(received)) <= {100, 200, 400, 413, 431}
     if not received:
-        # Nothing is said only to a request that was never complete.
+        # Only a request that was never complete gets no answer.
         assert b"\r\n\r\n" not in b"".join(parts).lstrip(b"\r\n")
--- a/agatetack/callers/test_problem.py
+++ b/agatetack/callers/test_problem.py
@@ -1,4 +1,4 @@
-"""Test the status and the time to come back that refusals carry."""
+"""Test the status and the Retry-After time of refusals."""
 
 import pytest
 import trio
@@ -25,7 +25,7 @@
     [
         (RefusalReason.NO_TARGET, NOT_RUN, {}, 503),
         (RefusalReason.NO_TARGET, UNKNOWN, {}, 503),
-        # Where the status promises, it does so only if that is true.
+        # With `statuses_promise`, a 503 means that nothing was run.
         (RefusalReason.NO_TARGET, UNKNOWN, {"statuses_promise": True}, 502),
         (RefusalReason.NO_TARGET, NOT_RUN, {"statuses_promise": True}, 503),
         (
--- a/agatetack/callers/test_server.py
+++ b/agatetack/callers/test_server.py
@@ -57,7 +57,7 @@
         stream = await trio.open_tcp_stream("127.0.0.1", port)
         await stream.send_all(REQUEST)
         assert statuses(await read_all(stream, 0.1)) == [200]
-        # The bytes are here, but no task has run since to read them.
+        # The bytes have arrived, but no task has run to read them.
         stream.socket._sock.send(REQUEST)
         server.stop_accepting()
         server.close_idle()
@@ -112,7 +112,7 @@
 
 
 def hello(context):
-    """Return the first bytes of a handshake that is never gone on with."""
+    """Return the first bytes of a handshake that is never continued."""
     outgoing = ssl.MemoryBIO()
     client = context.wrap_bio(ssl.MemoryBIO(), outgoing)
     with contextlib.suppress(ssl.SSLWantReadError):
@@ -137,7 +137,7 @@
                 await trio.sleep(0.01)
             while server.connections:
                 await trio.sleep(0.01)
-        # Others are served as before.
+        # Other callers are still served.
         plain = await trio.open_tcp_stream("127.0.0.1", port)
         secure = trio.SSLStream(plain, context, server_hostname="127.0.0.1")
         await secure.send_all(REQUEST)
--- a/agatetack/callers/writer.py
+++ b/agatetack/callers/writer.py
@@ -47,7 +47,7 @@
 
 
 def abort(stream: trio.abc.Stream) -> None:
-    """Make the later close of `stream` a reset, also under TLS."""
+    """Make closing `stream` later send a TCP reset, also under TLS."""
     transport = getattr(stream, "transport_stream", stream)
     if isinstance(transport, PlainStream):
         transport.abort_on_close()
@@ -57,9 +57,9 @@
     """Writes answers one after the other to one stream.
 
     Attributes:
-        sending_since: When the send under way began, or None. Whoever watches
-            the connection cuts it off when that is too long ago; a timeout of
-            its own for each send would cost more than the send.
+        sending_since: When the current send began, or None. `watch` resets the
+            connection when that is too long ago; a timeout around each send
+            would cost more than the send.
     """
 
     def __init__(self, stream: trio.abc.Stream):
@@ -89,7 +89,7 @@
             close: Whether the connection ends with this answer.
 
         Raises:
-            AnswerCut: The body was cut; the connection must be aborted.
+            AnswerCut: The body was cut off; the connection must be aborted.
             trio.BrokenResourceError: The caller is gone.
         """
         if method == b"HEAD" or answer.status in BODYLESS:
