--- a/agatetack/download/__init__.py
+++ b/agatetack/download/__init__.py
@@ -1,1 +1,1 @@
-"""Carry large answers whole: verified, and resumed when cut."""
+"""Deliver large answers complete: verified, and resumed if cut off."""
--- a/agatetack/download/ranges.py
+++ b/agatetack/download/ranges.py
@@ -1,4 +1,4 @@
-"""Read the header fields that tell which part of what an answer holds."""
+"""Read the header fields that state which bytes an answer contains."""
 
 import dataclasses
 import re
@@ -12,7 +12,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Extent:
-    """Which bytes of a resource an answer holds.
+    """The byte range of a resource that an answer contains.
 
     Attributes:
         first: The first byte, from 0.
@@ -36,7 +36,7 @@
 def answer_extent(
     status: int, headers: Headers, length: int | None
 ) -> Extent | None:
-    """Return which bytes an answer holds, or None if it does not say.
+    """Return the byte range of an answer, or None if not stated or invalid.
 
     Args:
         status: The HTTP status.
--- a/agatetack/download/resume.py
+++ b/agatetack/download/resume.py
@@ -1,4 +1,4 @@
-"""Carry a large answer whole: where one target stops, another goes on."""
+"""Resume a large answer with another target when it is cut off."""
 
 import contextlib
 import dataclasses
@@ -30,7 +30,7 @@
 from agatetack.outcomes import RetryReason
 
 MAX_FRUITLESS = 3
-"""Resumptions in a row that bring no byte, before the answer is cut."""
+"""Resumptions in a row without a new byte before the answer is cut."""
 
 RANGE_HEADERS = frozenset({b"range", b"if-range"})
 
@@ -50,11 +50,11 @@
 
 
 class ResumingBody(Body):
-    """A body that goes on with another target where one stopped.
+    """A body that is resumed with another target when it is cut off.
 
     Attributes:
         position: Bytes given to the caller so far.
-        extent: Which bytes of the resource the caller was promised.
+        extent: The byte range that the first answer announced.
     """
 
     def __init__(
@@ -80,7 +80,7 @@
         self.fruitless = 0
 
     def receive_nowait(self) -> bytes | None:
-        """Return bytes that are here already, or None."""
+        """Return the bytes already received, or None."""
         data = self.body.receive_nowait()
         if data:
             self._advance(data)
@@ -90,7 +90,7 @@
         """Return the next bytes, or `b""` at the verified end.
 
         Raises:
-            AnswerCut: The answer was cut and no target could go on.
+            AnswerCut: The answer was cut off and could not be resumed.
         """
         while True:
             try:
@@ -119,7 +119,7 @@
         self.metrics.retried(self.route.id, RetryReason.RESUME)
         log.request(
             self.request.request_id,
-            "Going on at byte %d with another target.",
+            "Resuming at byte %d with another target.",
             self.position,
         )
         result = await self.attempts.run(
@@ -142,8 +142,9 @@
     def _deadline(self) -> Deadline:
         """Return when the next answer must have begun.
 
-        The caller's own deadline binds; a route's is given anew, as it
-        bounds the time to an answer's begin, not to its end.
+        A deadline set by the caller holds for the whole download. A route's
+        deadline starts again at each resumption, as it limits the time until
+        an answer begins, not until it ends.
         """
         if self.request.deadline_given:
             return self.request.deadline
@@ -173,13 +174,13 @@
             raise self._cut(reason)
         self.body = answer.body
         if answer.status == WHOLE_STATUS:
-            # A body that is cut while it is skipped stays cut, which the
-            # next read finds.
+            # If the body is cut off while it is skipped, the next read
+            # raises the error again and resumes.
             with contextlib.suppress(AnswerCut):
                 await self._skip(self.position)
 
     def _mismatch(self, answer: Answer) -> CutReason | None:
-        """Return why `answer` does not go on where the last one stopped."""
+        """Return why `answer` can't continue the body, or None if it can."""
         if strong_validator(answer.headers) != self.validator:
             return CutReason.CHANGED
         extent = answer_extent(
@@ -189,8 +190,9 @@
             first = self.extent.first + self.position
             wanted = Extent(first, self.extent.last, self.extent.total)
             return None if extent == wanted else CutReason.WRONG_RANGE
-        # A target without ranges sends all again; what the caller has is
-        # skipped, which needs the caller to have asked for all.
+        # A target without range support sends the whole resource again. The
+        # bytes that the caller has are skipped, which is right only if the
+        # caller asked for the whole resource.
         if extent is not None and extent == self.extent:
             return None
         return CutReason.WRONG_RANGE
@@ -217,25 +219,25 @@
         return AnswerCut(reason.value)
 
     async def aclose(self) -> None:
-        """Free the connection that is being read."""
+        """Release the connection that is being read."""
         await self.body.aclose()
 
 
 class _Rest(Body):
-    """The rest of a part that was received, then the body it came from."""
+    """The rest of a received chunk, followed by the body it came from."""
 
     def __init__(self, rest: bytes, body: Body):
-        """Give `rest` first."""
+        """Return `rest` before the bytes of `body`."""
         self.rest = rest
         self.body = body
 
     async def receive(self) -> bytes:
-        """Return the rest, then what the body has."""
+        """Return the rest, then the bytes of the body."""
         if self.rest:
             rest, self.rest = self.rest, b""
             return rest
         return await self.body.receive()
 
     async def aclose(self) -> None:
-        """Free the body."""
+        """Close the body."""
         await self.body.aclose()
--- a/agatetack/download/test_resume.py
+++ b/agatetack/download/test_resume.py
@@ -1,4 +1,4 @@
-"""Check that a large answer is whole, or ends as a cut one."""
+"""Check that a large answer is complete or ends with an error."""
 
 import dataclasses
 
@@ -37,7 +37,7 @@
 
 
 class Piece(Body):
-    """Bytes in small parts, cut after some of them."""
+    """A body in small chunks, cut off after `cut_after` bytes."""
 
     def __init__(self, content, cut_after, length):
         self.content = content
@@ -105,7 +105,7 @@
 
 
 async def fetch(steps, seconds=5.0, wanted=None):
-    """Return what the caller gets, whether it is cut, and the attempts."""
+    """Return what the caller gets, why it was cut off, and the attempts."""
     headers = [] if wanted is None else [Header(b"range", wanted)]
     now = trio.current_time()
     request = CallerRequest(
