--- a/agatetack/lifecycle/drain.py
+++ b/agatetack/lifecycle/drain.py
@@ -1,7 +1,7 @@
-"""Take a host from its start to its end without cutting requests.
+"""Start and drain a host without cutting off requests.
 
-All times are deadlines on the monotonic clock, so that a jump of the wall
-clock moves none of them.
+All times are deadlines on the monotonic clock, so that jumps of the wall
+clock don't affect them.
 """
 
 import dataclasses
@@ -25,13 +25,13 @@
 from agatetack.settings.model import Settings
 
 READY_POLL_SECONDS = 0.02
-"""How often a starting host looks whether it is ready."""
+"""Interval at which a starting host checks whether it is ready."""
 
 FLUSH_SHARE = 0.1
-"""Share of the drain's time kept for flushes, when requests don't end."""
+"""Share of the drain time reserved for flushes if requests don't end."""
 
 STOP_SIGNALS = (signal.SIGTERM, signal.SIGINT)
-"""The first of these starts the drain, the second ends it."""
+"""The first signal received starts the drain, the second ends it."""
 
 LOG = PartLog("lifecycle")
 
@@ -39,7 +39,7 @@
 """Called once at its step of the drain; must not block or raise."""
 
 Flush = Callable[[Deadline], Awaitable[None]]
-"""Finishes or hands over what is kept, until the deadline at the latest."""
+"""Finishes or hands over pending work by the deadline."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -47,7 +47,7 @@
     """How a drain ended.
 
     Attributes:
-        cut: Requests that were still in flight.
+        cut: Requests that were still in flight at the end.
         unfinished: Names of the flushes that did not end.
     """
 
@@ -61,13 +61,13 @@
 
 
 class Lifecycle:
-    """How far one host is between its start and its end.
+    """The lifecycle of one host from start to stop.
 
     Attributes:
-        phase: How far the host is.
+        phase: The host's current phase.
         in_flight: The requests being served.
-        closing: Set when listeners close and connections end politely.
-        drain_until: When what is in flight is cut, or None before the drain.
+        closing: Set when listeners close and keep-alive ends.
+        drain_until: When requests in flight are cut; None before the drain.
     """
 
     def __init__(self, settings: Settings, metrics: Metrics, clock: Clock):
@@ -108,11 +108,11 @@
         self.leaving_hooks.append(hook)
 
     def on_closing(self, hook: Hook) -> None:
-        """Call `hook` when listeners close and keep-alive ends politely."""
+        """Call `hook` when listeners close and keep-alive ends."""
         self.closing_hooks.append(hook)
 
     def add_flush(self, name: str, flush: Flush) -> None:
-        """Run `flush` after the last request; cut ones are named `name`."""
+        """Run `flush` after the last request; reports call it `name`."""
         self.flushes[name] = flush
         self.unflushed.append(name)
 
@@ -127,10 +127,10 @@
         return self._not_started()
 
     async def run_until_ready(self, view: ReadinessView) -> None:
-        """Become ready as soon as `view` allows; return then.
+        """Become ready as soon as `view` allows, then return.
 
-        A host that once was ready stays so until it drains, as a new route
-        must not take a working host out of service.
+        A host that has become ready stays ready until it drains, as a new
+        route must not take a working host out of service.
         """
         self.view = view
         while self.phase is Phase.STARTING:
@@ -148,7 +148,7 @@
             return await self.drain_on(signals)
 
     async def drain_on(self, signals: AsyncIterator[int]) -> DrainReport:
-        """Drain at the first of `signals`; end that at the second."""
+        """Drain at the first of `signals`; end the drain at the second."""
         await anext(signals)
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self._end_on, signals, nursery.cancel_scope)
@@ -160,9 +160,9 @@
     async def drain(self) -> DrainReport:
         """Let every request in flight end, and return what was cut.
 
-        Readiness is off at once and leaving is announced. Connections are
-        still accepted for `notice_seconds`, as the platform's balancer goes
-        on sending until it has noticed.
+        The host stops being ready and announces its leaving at once. It still
+        accepts connections for `notice_seconds`, as the platform's load
+        balancer keeps sending until it notices.
         """
         now = self.clock.now()
         self.drain_until = Deadline(now + self.settings.drain_seconds)
@@ -177,7 +177,7 @@
         with trio.move_on_at(self._flush_at()):
             await self.in_flight.wait_empty()
         await self._flush()
-        # A request that outlasted the flushes may still end in time.
+        # A request that runs longer than the flushes may still end in time.
         with trio.move_on_at(self.drain_until):
             await self.in_flight.wait_empty()
         return self._stop()
@@ -218,7 +218,7 @@
         try:
             await flush(self.drain_until)
         except Exception as error:
-            # The others have to be flushed all the same.
+            # A failure must not stop the other flushes.
             LOG.error("The flush of %s failed: %r.", name, error)
         else:
             self.unflushed.remove(name)
--- a/agatetack/lifecycle/in_flight.py
+++ b/agatetack/lifecycle/in_flight.py
@@ -1,4 +1,4 @@
-"""Hold which requests are being served, until their last byte is sent."""
+"""Track the requests being served until their last byte is sent."""
 
 import dataclasses
 import enum
@@ -12,7 +12,7 @@
 
 
 class Stage(enum.Enum):
-    """How far a request is."""
+    """The stage of a request being served."""
 
     RUNNING = "running"
     DELIVERING = "delivering"
@@ -25,7 +25,7 @@
     Attributes:
         request_id: Its id; callers may choose the same one twice.
         route: Its route, or None while that is not known.
-        since: When it was begun.
+        since: When it started.
         stage: Whether its answer has begun.
     """
 
@@ -72,7 +72,7 @@
             self.end(request)
 
     def all(self) -> Sequence[InFlight]:
-        """Return the requests, the one begun first in front."""
+        """Return the requests, oldest first."""
         return list(self.requests)
 
     async def wait_empty(self) -> None:
@@ -85,8 +85,8 @@
 class TrackingHandler(Handler):
     """Keeps each request in flight until its answer is closed.
 
-    The callers' slice closes an answer once its last byte is sent or its
-    caller is gone, so that a half-delivered answer counts as in flight.
+    The callers package closes an answer once its last byte is sent or its
+    caller is gone, so that a partly delivered answer counts as in flight.
     """
 
     def __init__(self, handler: Handler, in_flight: InFlightRequests):
@@ -125,7 +125,7 @@
         return self.body.length
 
     def receive_nowait(self) -> bytes | None:
-        """Return bytes that are here already, or None."""
+        """Return the bytes already received, or None."""
         return self.body.receive_nowait()
 
     async def receive(self) -> bytes:
--- a/agatetack/lifecycle/phase.py
+++ b/agatetack/lifecycle/phase.py
@@ -1,10 +1,10 @@
-"""Define how far a host is between its start and its end."""
+"""Define the phases of a host's lifecycle."""
 
 import enum
 
 
 class Phase(enum.Enum):
-    """How far a host is between its start and its end."""
+    """A phase of a host's lifecycle."""
 
     STARTING = "starting"
     READY = "ready"
--- a/agatetack/lifecycle/readiness.py
+++ b/agatetack/lifecycle/readiness.py
@@ -1,4 +1,4 @@
-"""Tell whether a host may get requests, and why not."""
+"""Define whether a host may get requests, and why not."""
 
 import abc
 import dataclasses
@@ -8,7 +8,7 @@
 from agatetack.ids import RouteId
 
 NAMED_ROUTES = 5
-"""Routes named at most in one sentence."""
+"""Maximum number of routes listed in one message."""
 
 
 class NotReadyReason(enum.Enum):
@@ -25,8 +25,8 @@
     """Why a host may get no requests now.
 
     Attributes:
-        reason: The one reason.
-        detail: One sentence for a person.
+        reason: The reason as a code.
+        detail: The reason as a sentence for operators.
     """
 
     reason: NotReadyReason
@@ -34,7 +34,7 @@
 
 
 class ReadinessView(abc.ABC):
-    """What readiness depends on; each answer is cheap and current."""
+    """The conditions of readiness; each method is cheap and up to date."""
 
     @abc.abstractmethod
     def configured(self) -> bool:
@@ -46,7 +46,7 @@
 
 
 def not_measured(routes: Sequence[RouteId]) -> NotReady:
-    """Return that no target of `routes` has been measured yet."""
+    """Return the reason that no target of `routes` is measured yet."""
     named = ", ".join(routes[:NAMED_ROUTES])
     more = len(routes) - NAMED_ROUTES
     rest = f" and {more} more" if more > 0 else ""
--- a/agatetack/lifecycle/status.py
+++ b/agatetack/lifecycle/status.py
@@ -1,4 +1,4 @@
-"""Say on addresses of their own whether a host is ready, and its counters."""
+"""Serve a host's readiness and metrics on separate addresses."""
 
 from collections.abc import Callable, Sequence
 
@@ -27,10 +27,10 @@
 
 
 class ReadyHandler(Handler):
-    """Answers whether the host takes requests."""
+    """Answers whether the host is ready for requests."""
 
     def __init__(self, settings: Settings, lifecycle: Lifecycle):
-        """Ask `lifecycle`."""
+        """Answer with the readiness of `lifecycle`."""
         self.path = settings.status.ready_path.encode()
         self.lifecycle = lifecycle
 
@@ -45,7 +45,7 @@
 
 
 class MetricsHandler(Handler):
-    """Answers with the host's counters, as text."""
+    """Answers with the host's metrics as text."""
 
     def __init__(
         self,
@@ -53,19 +53,19 @@
         metrics: Metrics,
         refresh: Sequence[Callable[[], None]] = (),
     ):
-        """Show `metrics`.
+        """Serve `metrics`.
 
         Args:
             settings: The host's settings.
-            metrics: The counters.
-            refresh: Called before, to bring gauges up to date.
+            metrics: The host's metrics.
+            refresh: Called before each answer to update gauges.
         """
         self.path = settings.status.metrics_path.encode()
         self.metrics = metrics
         self.refresh = refresh
 
     async def handle(self, request: CallerRequest) -> Answer:
-        """Return the counters."""
+        """Return the metrics."""
         if request.path != self.path:
             return _text(NOT_FOUND, b"there is nothing here\n")
         for refresh in self.refresh:
@@ -75,7 +75,7 @@
 
 
 async def render_metrics(metrics: Metrics) -> bytes:
-    """Return all counters as text; other tasks get their turn between two."""
+    """Return all metrics as text; other tasks may run between two."""
     metrics.hand_over()
     formatter = TextFormatter()
     blocks = []
--- a/agatetack/lifecycle/test_drain.py
+++ b/agatetack/lifecycle/test_drain.py
@@ -1,4 +1,4 @@
-"""Check that a drain cuts nothing it need not, and names what it cuts."""
+"""Check that a drain cuts off requests only if it must, and names them."""
 
 import dataclasses
 import os
@@ -33,7 +33,7 @@
 
 
 class OneAnswer(Handler):
-    """Answers everything with one body."""
+    """Answers every request with the same body."""
 
     async def handle(self, request):
         return Answer(200, [], BytesBody(b"plat"), ROUTE)
@@ -41,7 +41,7 @@
 
 @dataclasses.dataclass
 class Case:
-    """One drain: when things happen, in seconds, and how it must end."""
+    """A drain: the times of its events in seconds, and the expected end."""
 
     name: str
     ends_at: float
@@ -180,7 +180,7 @@
     handler = TrackingHandler(OneAnswer(), lifecycle.in_flight)
     request = dataclasses.make_dataclass("Request", ["request_id"])("r1")
     answer = await handler.handle(request)
-    # All bytes were taken, but the caller need not have them yet.
+    # All bytes were read, but the caller may not have received them.
     assert await answer.body.receive() == b"plat"
     assert await answer.body.receive() == b""
     [tracked] = lifecycle.in_flight.all()
@@ -219,7 +219,7 @@
 
 @dataclasses.dataclass
 class View(ReadinessView):
-    """A view set by hand: when things are known, in seconds."""
+    """Conditions that become true at given times, in seconds."""
 
     configured_at: float
     measured_at: float
