--- a/agatetack/record_log/__init__.py
+++ b/agatetack/record_log/__init__.py
@@ -1,1 +1,1 @@
-"""Use the append-only log that keeps routes, claims and deferred work."""
+"""Access the append-only log of routes, claims and deferred work."""
--- a/agatetack/record_log/http_log.py
+++ b/agatetack/record_log/http_log.py
@@ -40,20 +40,20 @@
 OCTETS = {"content-type": "application/octet-stream"}
 
 REPLY_MARGIN_SECONDS = 0.25
-"""Time kept free for the reply of a read that waits until its deadline."""
+"""Time reserved for the reply of a read that waits until its deadline."""
 
 TOO_FAST_SECONDS = 0.1
-"""When to try again after a refusal that does not say when."""
+"""Retry delay after a refusal that states none."""
 
 BASE64_GROWTH = 2
-"""Base64 makes a payload less than this many times as long."""
+"""Upper bound of the factor by which Base64 lengthens a payload."""
 
 RECORD_FRAME_BYTES = 128
-"""Most bytes of JSON around one payload."""
+"""Maximum bytes of JSON around one payload."""
 
 
 class HttpLog(Log):
-    """The log at the address that the settings name."""
+    """The log at the address given in the settings."""
 
     def __init__(self, settings: Settings):
         """Make a client; it connects when it is first used."""
@@ -72,10 +72,10 @@
         """Append one record and return its offset.
 
         Raises:
-            LogRecordTooLarge: It had no effect, nor will it ever.
+            LogRecordTooLarge: It had no effect; no retry can succeed.
             LogUnavailable: It had no effect.
             LogTooFast: It had no effect.
-            LogOutcomeUnknown: It may have taken effect, or may still.
+            LogOutcomeUnknown: It may have taken effect, or may do so later.
         """
         if len(payload) > self.settings.max_record_bytes:
             raise LogRecordTooLarge(f"{len(payload)} bytes are too many")
@@ -138,7 +138,7 @@
 
 
 def read_append_reply(reply: PlatformReply) -> LogOffset:
-    """Return the offset, or raise what the refusal means."""
+    """Return the offset, or raise the error for a refusal."""
     if reply.status == OK:
         try:
             answer = APPEND_REPLY.validate_json(reply.body)
@@ -163,7 +163,7 @@
 
 
 def read_page_reply(reply: PlatformReply, start: LogOffset) -> LogPage:
-    """Return the page from `start` on, or raise what the refusal means."""
+    """Return the page from `start` on, or raise the error for a refusal."""
     if reply.status == OK:
         try:
             page = PAGE_REPLY.validate_json(reply.body)
--- a/agatetack/record_log/log.py
+++ b/agatetack/record_log/log.py
@@ -12,26 +12,26 @@
 
 
 class LogUnavailable(LogError):
-    """The log could not be reached or refused; an append had no effect."""
+    """The log is unreachable or refused the call; an append had no effect."""
 
 
 class LogRecordTooLarge(LogUnavailable):
-    """The log takes no record of this length; it had no effect."""
+    """The log accepts no record of this size; the append had no effect."""
 
 
 class LogOutcomeUnknown(LogError):
-    """An append was sent and no reply came; it may yet take effect."""
+    """An append was sent without a valid reply; it may still take effect."""
 
 
 class LogTooFast(LogError):
-    """The log takes no more appends now; this one had no effect.
+    """The log accepts no more appends now; this one had no effect.
 
     Attributes:
         retry_at: When to try again.
     """
 
     def __init__(self, retry_at: Deadline):
-        """Keep when to try again."""
+        """Store when to try again."""
         super().__init__("the log takes no more appends now")
         self.retry_at = retry_at
 
@@ -44,7 +44,7 @@
     """
 
     def __init__(self, first: LogOffset):
-        """Keep the first offset that can be read."""
+        """Store the first offset that can be read."""
         super().__init__(f"records before offset {first} are no longer kept")
         self.first = first
 
@@ -54,7 +54,7 @@
     """One record as the log holds it.
 
     Attributes:
-        offset: Where it stands in its stream.
+        offset: Its position in the stream.
         payload: What was appended.
         appended_at: The log's wall clock when it was appended.
     """
@@ -89,10 +89,10 @@
         """Append one record and return its offset.
 
         Raises:
-            LogRecordTooLarge: It had no effect, nor will it ever.
+            LogRecordTooLarge: It had no effect; no retry can succeed.
             LogUnavailable: It had no effect.
             LogTooFast: It had no effect.
-            LogOutcomeUnknown: It may have taken effect, or may still.
+            LogOutcomeUnknown: It may have taken effect, or may do so later.
         """
 
     @abc.abstractmethod
@@ -109,9 +109,9 @@
         Args:
             stream: The stream to read.
             start: The offset of the first record wanted.
-            deadline: When to give the call up.
-            wait_until: With no record there yet, wait for one until then.
-            max_records: Most records to return.
+            deadline: When to give up the call.
+            wait_until: If there is no record yet, wait for one until then.
+            max_records: Maximum number of records to return.
 
         Raises:
             LogUnavailable: The log could not be reached in time.
--- a/agatetack/record_log/messages.py
+++ b/agatetack/record_log/messages.py
@@ -7,7 +7,7 @@
 import pydantic
 
 PAGE_BYTES = 1 << 20
-"""Most payload bytes in one page of records; one record always fits."""
+"""Maximum payload bytes in one page, unless a single record is larger."""
 
 Offset = Annotated[int, pydantic.Field(ge=0, strict=True)]
 
@@ -15,8 +15,8 @@
 class PlatformError(enum.Enum):
     """Why a platform service refused a call; the call had no effect.
 
-    A refusal counts only with one of these in its body, as a status alone may
-    come from something in between that knows nothing of the effect.
+    A refusal is valid only with one of these in its body, as a status alone
+    may come from a proxy that does not know whether the call had an effect.
     """
 
     UNAVAILABLE = "unavailable"
@@ -31,7 +31,7 @@
     """The body of every refusal.
 
     Attributes:
-        error: Why.
+        error: The reason.
         first: With `truncated`, the first offset still kept.
         retry_after_ms: With `too-fast`, when to try again, in ms from now.
     """
@@ -46,7 +46,7 @@
     """The body of a successful append.
 
     Attributes:
-        offset: Where the record stands.
+        offset: The offset of the record.
     """
 
     offset: Offset
@@ -88,7 +88,7 @@
 
 
 def parse_error(body: bytes) -> ErrorReply | None:
-    """Return the refusal in `body`, or None if it is none."""
+    """Return the refusal in `body`, or None if there is none."""
     try:
         return ERROR_REPLY.validate_json(body)
     except pydantic.ValidationError:
--- a/agatetack/record_log/resumption.py
+++ b/agatetack/record_log/resumption.py
@@ -1,15 +1,15 @@
-"""Tell when a stream has been read to its end after a gap."""
+"""Track when a reader has caught up with a stream after a gap."""
 
 import trio
 
 
 class Resumption:
-    """Whether the reading of a stream was interrupted, and when it goes on.
+    """Whether reading a stream is interrupted, and when it has caught up.
 
     Attributes:
-        interrupted: Whether the end was not reached since the start, or since
-            the log could not be read.
-        resumed: Set, and replaced, when it is reached again.
+        interrupted: Whether the stream's end has not been reached since the
+            start or since the log last could not be read.
+        resumed: Set and replaced when the end is reached again.
     """
 
     def __init__(self) -> None:
@@ -18,11 +18,11 @@
         self.resumed = trio.Event()
 
     def interrupt(self) -> None:
-        """Note that the log could not be read."""
+        """Record that the log could not be read."""
         self.interrupted = True
 
     def reach_end(self) -> None:
-        """Note that the stream was read to its end."""
+        """Record that the stream was read to its end."""
         if self.interrupted:
             self.interrupted = False
             self.resumed.set()
--- a/agatetack/record_log/test_log_contract.py
+++ b/agatetack/record_log/test_log_contract.py
@@ -1,7 +1,7 @@
 """Test the contract of the platform's log against each implementation.
 
-Set AGATETACK_LOG to `ip:port` to run the table without faults against a real
-service; it uses streams with new names and leaves some records there.
+Set AGATETACK_LOG to `ip:port` to run the scenarios without faults against a
+real service; they use streams with new names and leave some records there.
 """
 
 import contextlib
@@ -44,7 +44,7 @@
 PATIENCE_SECONDS = 5.0
 TRY_SECONDS = 0.2
 PAIR_TRY_SECONDS = 0.04
-"""Shorter, as any result of a pair is right if it is true."""
+"""Shorter, as a pair of faults may have any result that matches the log."""
 
 LATE_SECONDS = 0.02
 SETTLE_SECONDS = 0.035
@@ -133,7 +133,7 @@
 
         nursery.start_soon(wait)
         await trio.sleep(SETTLE_SECONDS)
-        # The waiting read holds up neither this append nor another read.
+        # The waiting read must block neither this append nor other reads.
         await world.logs[1].append(world.stream, b"x", soon())
     assert [record.payload for record in pages[0].records] == [b"x"]
 
@@ -176,14 +176,14 @@
 
 @dataclasses.dataclass(frozen=True)
 class Fault:
-    """Something that goes wrong in an append.
+    """A fault during an append.
 
     Attributes:
         name: Its name.
-        begin: Brings it about.
+        begin: Injects the fault.
         error: What the append raises; None if it succeeds.
-        landed: How often the record is there in the end.
-        over_http: Whether it needs HTTP.
+        landed: How often the record is in the log in the end.
+        over_http: Whether it occurs only over HTTP.
     """
 
     name: str
@@ -284,7 +284,7 @@
         await append(world, b"after")
         kept = await payloads(world)
     landed = kept.count(b"tried")
-    # What is said of an append is true for good, whatever went wrong.
+    # The result reported for an append stays true, whatever went wrong.
     if isinstance(result, LogUnavailable | LogTooFast):
         assert landed == 0
     elif isinstance(result, LogError):
