--- a/agatetack/serving/dispatcher.py
+++ b/agatetack/serving/dispatcher.py
@@ -33,10 +33,10 @@
 from agatetack.serving.split import Splitter
 from agatetack.settings.model import Settings
 
-COME_BACK_STATUSES = frozenset({429, 503})
+RETRY_AFTER_STATUSES = frozenset({429, 503})
 """Statuses of refusals that always carry a Retry-After header."""
 
-FIRST_FAILURE = 500
+MIN_FAILURE_STATUS = 500
 """The lowest status that counts as a failure of the target."""
 
 log = PartLog("serving")
@@ -101,7 +101,9 @@
                 return await self.tickets.handle(request)
             found = self._find_route(request)
             if isinstance(found, Refusal):
-                return self._refuse(None, request, _doubted(request, found))
+                return self._refuse(
+                    None, request, _with_unknown_outcome(request, found)
+                )
             route = self.splitter.choose(found)
             result = await self._run(route, request)
         except (CallerGone, trio.Cancelled):
@@ -118,7 +120,7 @@
             return self._refuse(route, request, refusal)
         if isinstance(result, Failure):
             return self._refuse(route, request, result.failure())
-        return self._pass_on(route, request, result.unwrap())
+        return self._finish_answer(route, request, result.unwrap())
 
     def _is_for_tickets(self, request: CallerRequest) -> bool:
         if self.tickets is None:
@@ -130,14 +132,14 @@
             return refuse(
                 RefusalReason.SHUTTING_DOWN,
                 "This host is leaving; ask again on a new connection.",
-                self._soon(),
+                self._default_retry_at(),
             )
         table = self.routes.table
         if table is None:
             return refuse(
                 RefusalReason.NO_CONFIGURATION,
                 "This host has no configuration yet.",
-                self._soon(),
+                self._default_retry_at(),
             )
         route = table.match(
             request.host.decode("latin-1"), request.path.decode("latin-1")
@@ -148,7 +150,7 @@
             )
         return route
 
-    def _soon(self) -> Deadline:
+    def _default_retry_at(self) -> Deadline:
         seconds = self.settings.admission.retry_after_seconds
         return Deadline(trio.current_time() + seconds)
 
@@ -159,7 +161,7 @@
         refusal = self._check(route, request)
         if refusal is not None:
             if route.request_class is RequestClass.ONCE:
-                refusal = _doubted(request, refusal)
+                refusal = _with_unknown_outcome(request, refusal)
             return Failure(refusal)
         return await self.runners[route.request_class].run(route, request)
 
@@ -187,8 +189,10 @@
         self, route: Route | None, request: CallerRequest, refusal: Refusal
     ) -> Answer:
         status = refusal_status(refusal, self.settings.callers)
-        if status in COME_BACK_STATUSES and refusal.retry_at is None:
-            refusal = dataclasses.replace(refusal, retry_at=self._soon())
+        if status in RETRY_AFTER_STATUSES and refusal.retry_at is None:
+            refusal = dataclasses.replace(
+                refusal, retry_at=self._default_retry_at()
+            )
         route_id = None if route is None else route.id
         self.metrics.refused(route_id, refusal.reason)
         self.explanations.note(request, route, status, refusal)
@@ -208,7 +212,7 @@
             answer.headers.append(Header(name, refusal.ticket.encode()))
         return answer
 
-    def _pass_on(
+    def _finish_answer(
         self, route: Route, request: CallerRequest, answer: Answer
     ) -> Answer:
         seconds = trio.current_time() - request.arrived
@@ -254,14 +258,14 @@
     route: Route, request: CallerRequest, answer: Answer, seconds: float
 ) -> Importance:
     """Return whether to log all decisions on an answered request."""
-    wanted = route.target_latency_seconds
-    late = wanted and seconds > wanted
-    if late or answer.status >= FIRST_FAILURE or len(request.attempts) > 1:
+    latency_goal_seconds = route.target_latency_seconds
+    late = latency_goal_seconds and seconds > latency_goal_seconds
+    if late or answer.status >= MIN_FAILURE_STATUS or len(request.attempts) > 1:
         return Importance.FAILED
     return Importance.USUAL
 
 
-def _doubted(request: CallerRequest, refusal: Refusal) -> Refusal:
+def _with_unknown_outcome(request: CallerRequest, refusal: Refusal) -> Refusal:
     """Set a refusal's outcome to unknown if the request has a key.
 
     The refusal is made before the key's claim is looked up, so an earlier
