--- a/agatetack/serving/explain.py
+++ b/agatetack/serving/explain.py
@@ -10,10 +10,10 @@
 from agatetack.messages import AttemptNote, CallerRequest
 from agatetack.outcomes import Refusal
 
-KEPT_ANSWERED = 2_000
+MAX_ANSWERED_NOTES = 2_000
 """Latest answered requests that are kept."""
 
-KEPT_REFUSED = 2_000
+MAX_REFUSED_NOTES = 2_000
 """Latest refused requests that are kept.
 
 They are counted apart, so that many answered requests don't evict them.
@@ -45,18 +45,18 @@
     attempts: list[AttemptNote]
 
 
-class _Latest:
+class _LatestNotes:
     """The latest notes, by request id."""
 
-    def __init__(self, kept: int):
-        self.kept = kept
+    def __init__(self, max_notes: int):
+        self.max_notes = max_notes
         self.notes: collections.OrderedDict[RequestId, RequestNote] = (
             collections.OrderedDict()
         )
 
     def add(self, note: RequestNote) -> None:
         self.notes[note.request_id] = note
-        if len(self.notes) > self.kept:
+        if len(self.notes) > self.max_notes:
             self.notes.popitem(last=False)
 
 
@@ -65,8 +65,8 @@
 
     def __init__(self) -> None:
         """Start empty."""
-        self.answered = _Latest(KEPT_ANSWERED)
-        self.refused = _Latest(KEPT_REFUSED)
+        self.answered = _LatestNotes(MAX_ANSWERED_NOTES)
+        self.refused = _LatestNotes(MAX_REFUSED_NOTES)
 
     def note(
         self,
@@ -86,8 +86,8 @@
             refusal,
             request.attempts,
         )
-        kept = self.answered if refusal is None else self.refused
-        kept.add(note)
+        notes = self.answered if refusal is None else self.refused
+        notes.add(note)
 
     def find(self, request_id: RequestId) -> list[RequestNote]:
         """Return the notes on a request, ordered by arrival."""
--- a/agatetack/serving/split.py
+++ b/agatetack/serving/split.py
@@ -8,7 +8,7 @@
 from agatetack.ids import RouteId
 
 
-class _Turns:
+class _WeightedRoundRobin:
     """Smooth weighted round-robin over the parts of one split.
 
     At each request every part gains its share as credit, and the part that
@@ -17,13 +17,13 @@
     a tenth for 100 requests.
     """
 
-    def __init__(self, route: Route, source: random.Random):
+    def __init__(self, route: Route, rng: random.Random):
         """Start with random credits, so that hosts don't choose in step."""
         total = sum(part.weight for part in route.split)
         self.route = route
         self.routes = [_with_service(route, part) for part in route.split]
         self.shares = [part.weight / total for part in route.split]
-        self.credits = [share * source.random() for share in self.shares]
+        self.credits = [share * rng.random() for share in self.shares]
 
     def next(self) -> Route:
         """Return the route with the next service."""
@@ -38,13 +38,13 @@
     """Chooses a service for each request on routes with a split.
 
     Attributes:
-        turns: Round-robin state by route; a changed route starts anew.
+        round_robins: Round-robin state by route; a changed route starts anew.
     """
 
     def __init__(self, seed: int | None = None):
         """Start without routes."""
         self.random = random.Random(seed)
-        self.turns: dict[RouteId, _Turns] = {}
+        self.round_robins: dict[RouteId, _WeightedRoundRobin] = {}
 
     def choose(self, route: Route) -> Route:
         """Return `route` with the one service that runs the next request.
@@ -54,15 +54,17 @@
         """
         if not route.split:
             return route
-        turns = self.turns.get(route.id)
-        if turns is None or turns.route is not route:
-            turns = self.turns[route.id] = _Turns(route, self.random)
-        return turns.next()
+        round_robin = self.round_robins.get(route.id)
+        if round_robin is None or round_robin.route is not route:
+            round_robin = self.round_robins[route.id] = _WeightedRoundRobin(
+                route, self.random
+            )
+        return round_robin.next()
 
     def keep_only(self, routes: Sequence[RouteId]) -> None:
         """Drop the state of routes that no longer exist."""
-        for gone in self.turns.keys() - set(routes):
-            del self.turns[gone]
+        for removed in self.round_robins.keys() - set(routes):
+            del self.round_robins[removed]
 
 
 def _with_service(route: Route, part: SplitPart) -> Route:
