--- a/agatetack/callers/connection.py
+++ b/agatetack/callers/connection.py
@@ -30,7 +30,7 @@
 
 RECEIVE_BYTES = 64 * 1024
 
-WATCH_SECONDS = 0.25
+REAP_INTERVAL_SECONDS = 0.25
 """Interval between checks for stalled or lost callers."""
 
 LINGER_SECONDS = 1.0
@@ -364,7 +364,7 @@
     receive and send, and none of these timeouts needs to be exact.
     """
     while True:
-        await trio.sleep(WATCH_SECONDS)
+        await trio.sleep(REAP_INTERVAL_SECONDS)
         now = Deadline(trio.current_time())
         for connection in list(connections):
             if connection.overdue(now) or connection.is_lost():
--- a/agatetack/callers/head.py
+++ b/agatetack/callers/head.py
@@ -13,8 +13,8 @@
 from agatetack.settings.model import CallersSettings
 from agatetack.unique import unique_name
 
-MAX_KEY_LENGTH = 256
-"""Maximum length of idempotency keys and request ids, in bytes."""
+MAX_TOKEN_BYTES = 256
+"""Maximum length of idempotency keys, request ids and caller names."""
 
 DOT_SEGMENT = re.compile(rb"/(\.|%2e){1,2}(/|$)", re.IGNORECASE)
 ABSOLUTE_FORM = re.compile(rb"^https?://([^/?#]*)(.*)$", re.IGNORECASE)
@@ -94,7 +94,7 @@
         return Failure(
             refuse(
                 RefusalReason.KEY_MALFORMED,
-                f"{names.idempotency_key} takes 1 to {MAX_KEY_LENGTH} "
+                f"{names.idempotency_key} takes 1 to {MAX_TOKEN_BYTES} "
                 "visible ASCII characters, without spaces.",
             )
         )
@@ -134,7 +134,7 @@
 
 
 def _is_token(value: bytes) -> bool:
-    return len(value) <= MAX_KEY_LENGTH and bool(VISIBLE_ASCII.match(value))
+    return len(value) <= MAX_TOKEN_BYTES and bool(VISIBLE_ASCII.match(value))
 
 
 def _without_port(host: bytes) -> bytes:
--- a/agatetack/callers/read_ahead.py
+++ b/agatetack/callers/read_ahead.py
@@ -17,10 +17,10 @@
 """Methods whose requests may start before earlier ones are answered
 (RFC 9112, 9.3.2)."""
 
-MOST_READ_REQUESTS = 64
+MAX_READ_AHEAD_REQUESTS = 64
 """Maximum of requests read but not started; then reading pauses."""
 
-MOST_READ_BYTES = 256 * 1024
+MAX_READ_AHEAD_BYTES = 256 * 1024
 """Maximum of body bytes read but not consumed; then reading pauses.
 
 TCP flow control slows down the caller while reading is paused.
@@ -99,10 +99,10 @@
             self.metrics.refused(None, RefusalReason.CALLER_GONE)
 
     def _is_full(self) -> bool:
-        if len(self.parser.ready) >= MOST_READ_REQUESTS:
+        if len(self.parser.ready) >= MAX_READ_AHEAD_REQUESTS:
             return True
         body = self.parser.body
-        return body is not None and body.held_bytes >= MOST_READ_BYTES
+        return body is not None and body.held_bytes >= MAX_READ_AHEAD_BYTES
 
     async def _read_more(self) -> None:
         """Wait until the reading task has received something.
--- a/agatetack/callers/writer.py
+++ b/agatetack/callers/writer.py
@@ -8,12 +8,12 @@
 from agatetack.messages import Answer, Header
 from agatetack.streams import PlainStream
 
-BODYLESS = frozenset({204, 304})
+BODYLESS_STATUSES = frozenset({204, 304})
 """Statuses whose answers have no body (RFC 9112, 6.3)."""
 
 CONTINUE = b"HTTP/1.1 100 Continue\r\n\r\n"
 
-REASONS = {
+STATUS_LINES = {
     status.value: f"HTTP/1.1 {status.value} {status.phrase}\r\n".encode()
     for status in http.HTTPStatus
 }
@@ -21,7 +21,7 @@
 
 def status_line(status: int) -> bytes:
     """Return the first line of an answer."""
-    return REASONS.get(status) or b"HTTP/1.1 %d \r\n" % status
+    return STATUS_LINES.get(status) or b"HTTP/1.1 %d \r\n" % status
 
 
 def answer_head(
@@ -92,7 +92,7 @@
             AnswerCut: The body was cut off; the connection must be aborted.
             trio.BrokenResourceError: The caller is gone.
         """
-        if method == b"HEAD" or answer.status in BODYLESS:
+        if method == b"HEAD" or answer.status in BODYLESS_STATUSES:
             await self._write_without_body(answer, method, close)
             return not close
         length = answer.body.length
