--- a/agatetack/callers/bounded.py
+++ b/agatetack/callers/bounded.py
@@ -6,7 +6,7 @@
 from agatetack.outcomes import Outcome, Refusal, RefusalReason, refuse
 
 
-def too_large(max_bytes: int) -> Refusal:
+def body_too_large_refusal(max_bytes: int) -> Refusal:
     """Return the refusal of a body that is larger than `max_bytes`."""
     return refuse(
         RefusalReason.BODY_TOO_LARGE,
@@ -14,7 +14,7 @@
     )
 
 
-class TooLarge(Exception):
+class BodyTooLarge(Exception):
     """A request's body is larger than its limit.
 
     Attributes:
@@ -29,7 +29,7 @@
     def refusal(self) -> Refusal:
         """Return the refusal; a target may have run the part it received."""
         return dataclasses.replace(
-            too_large(self.max_bytes), outcome=Outcome.UNKNOWN
+            body_too_large_refusal(self.max_bytes), outcome=Outcome.UNKNOWN
         )
 
 
@@ -58,5 +58,5 @@
         data = await self.body.receive()
         self.left -= len(data)
         if self.left < 0:
-            raise TooLarge(self.max_bytes)
+            raise BodyTooLarge(self.max_bytes)
         return data
--- a/agatetack/callers/connection.py
+++ b/agatetack/callers/connection.py
@@ -6,7 +6,11 @@
 import trio
 from returns.result import Failure
 
-from agatetack.callers.bounded import BoundedBody, TooLarge, too_large
+from agatetack.callers.bounded import (
+    BodyTooLarge,
+    BoundedBody,
+    body_too_large_refusal,
+)
 from agatetack.callers.head import read_addressing
 from agatetack.callers.parser import ParsedRequest, RequestParser
 from agatetack.callers.problem import refusal_answer
@@ -244,7 +248,7 @@
             if isinstance(request, Refusal):
                 return self._refuse(request)
             return await self.handler.handle(request)
-        except TooLarge as error:
+        except BodyTooLarge as error:
             return self._refuse(error.refusal())
 
     def _refuse(self, refusal: Refusal) -> Answer:
@@ -259,7 +263,7 @@
         found = addressing.unwrap()
         length = parsed.body.length
         if length is not None and length > self.settings.max_body_bytes:
-            return too_large(self.settings.max_body_bytes)
+            return body_too_large_refusal(self.settings.max_body_bytes)
         if parsed.expects_continue and not parsed.body.received:
             await self.writer.send(CONTINUE)
         body = await self._hold_body(parsed, found.deadline)
--- a/agatetack/serving/dispatcher.py
+++ b/agatetack/serving/dispatcher.py
@@ -7,7 +7,11 @@
 import trio
 from returns.result import Failure, Result
 
-from agatetack.callers.bounded import BoundedBody, TooLarge, too_large
+from agatetack.callers.bounded import (
+    BodyTooLarge,
+    BoundedBody,
+    body_too_large_refusal,
+)
 from agatetack.callers.problem import refusal_answer, refusal_status
 from agatetack.config.route import RequestClass, Route, RouteSource
 from agatetack.decisions import DecisionLog, Importance
@@ -110,7 +114,7 @@
             # There is no caller to answer. The connection counts the refusal.
             self._finish(route, request, Importance.FAILED, "caller-gone")
             raise
-        except TooLarge as error:
+        except BodyTooLarge as error:
             return self._refuse(route, request, error.refusal())
         except Exception as error:
             log.error("[%s] failed: %r.", request.request_id, error)
@@ -176,7 +180,7 @@
             request.deadline = min(request.deadline, latest)
         length = request.body.length
         if length is not None and length > route.max_body_bytes:
-            return too_large(route.max_body_bytes)
+            return body_too_large_refusal(route.max_body_bytes)
         if length is None:
             request.body = BoundedBody(request.body, route.max_body_bytes)
         if trio.current_time() >= request.deadline:
--- a/agatetack/serving/test_dispatcher.py
+++ b/agatetack/serving/test_dispatcher.py
@@ -5,7 +5,7 @@
 import trio
 from returns.result import Failure, Success
 
-from agatetack.callers.bounded import TooLarge
+from agatetack.callers.bounded import BodyTooLarge
 from agatetack.config.route import (
     RequestClass,
     Route,
@@ -210,7 +210,7 @@
     [
         ([b"ab", b"c"], 200, None),
         ([b"ab", b"cd"], 413, b"unknown"),
-        ([b"ab", TooLarge(9)], 413, b"unknown"),
+        ([b"ab", BodyTooLarge(9)], 413, b"unknown"),
     ],
 )
 async def test_a_stream_is_bounded_by_its_route(
