--- a/agatetack/callers/connection.py
+++ b/agatetack/callers/connection.py
@@ -98,7 +98,7 @@
     async def _serve_requests(self) -> None:
         await self._answer_all()
 
-    def close_politely(self) -> None:
+    def close_gracefully(self) -> None:
         """Close the connection now if idle, else after the current request.
 
         A request that has arrived but is still unread counts as current.
@@ -118,7 +118,7 @@
         transport = getattr(self.stream, "transport_stream", self.stream)
         return transport if isinstance(transport, PlainStream) else None
 
-    def overdue(self, now: Deadline) -> bool:
+    def has_timed_out(self, now: Deadline) -> bool:
         """Return whether a timeout of this connection has expired."""
         limits = self.settings
         sending_since = self.writer.sending_since
@@ -146,7 +146,7 @@
         transport = self._transport()
         return transport is not None and transport.is_reset()
 
-    def cut(self) -> None:
+    def abort(self) -> None:
         """Reset the connection at once and cancel what runs for it."""
         abort(self.stream)
         self.scope.cancel()
@@ -361,7 +361,7 @@
         raise
 
 
-async def watch(connections: Collection[CallerConnection]) -> None:
+async def reap_connections(connections: Collection[CallerConnection]) -> None:
     """Reset connections of stalled or lost callers; runs forever.
 
     One periodic check of all connections costs less than a timeout around each
@@ -371,5 +371,5 @@
         await trio.sleep(REAP_INTERVAL_SECONDS)
         now = Deadline(trio.current_time())
         for connection in list(connections):
-            if connection.overdue(now) or connection.is_lost():
-                connection.cut()
+            if connection.has_timed_out(now) or connection.is_lost():
+                connection.abort()
--- a/agatetack/callers/read_ahead.py
+++ b/agatetack/callers/read_ahead.py
@@ -68,7 +68,7 @@
             self.progress = trio.Event()
         if self._is_gone() and self.busy:
             self.metrics.refused(None, RefusalReason.CALLER_GONE)
-            self.cut()
+            self.abort()
 
     def _read_rest(self) -> None:
         """Read all bytes that have arrived, and the stream's end if it has.
--- a/agatetack/callers/server.py
+++ b/agatetack/callers/server.py
@@ -4,7 +4,7 @@
 
 import trio
 
-from agatetack.callers.connection import CallerConnection, watch
+from agatetack.callers.connection import CallerConnection, reap_connections
 from agatetack.callers.read_ahead import ReadAheadConnection
 from agatetack.early_listener import BACKLOG
 from agatetack.logs import PartLog
@@ -66,7 +66,7 @@
         listener = PlainListener(listen.host, listen.port, BACKLOG)
         self.port = listener.port
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(watch, self.connections)
+            nursery.start_soon(reap_connections, self.connections)
             task_status.started(self.port)
             try:
                 with self.accepting:
@@ -157,4 +157,4 @@
         """Close idle connections now, and busy ones after their request."""
         self.closing = True
         for connection in list(self.connections):
-            connection.close_politely()
+            connection.close_gracefully()
--- a/agatetack/callers/test_connection.py
+++ b/agatetack/callers/test_connection.py
@@ -7,7 +7,7 @@
 import trio
 import trio.testing
 
-from agatetack.callers.connection import CallerConnection, watch
+from agatetack.callers.connection import CallerConnection, reap_connections
 from agatetack.messages import (
     Answer,
     AnswerCut,
@@ -81,7 +81,7 @@
     connection = CallerConnection(ours, "127.0.0.1", settings, echo, Metrics())
     async with trio.open_nursery() as nursery:
         nursery.start_soon(connection.serve)
-        nursery.start_soon(watch, {connection})
+        nursery.start_soon(reap_connections, {connection})
         yield caller, echo, connection
         nursery.cancel_scope.cancel()
 
@@ -299,7 +299,7 @@
     async with connected() as (caller, echo, connection):
         await caller.send_all(b"GET /sleep HTTP/1.1\r\nHost: a\r\n\r\n")
         await trio.testing.wait_all_tasks_blocked()
-        connection.cut()
+        connection.abort()
         await trio.testing.wait_all_tasks_blocked()
         assert echo.cancelled == 1
 
@@ -371,7 +371,7 @@
             assert statuses(await read_all(caller)) == [200]
         else:
             await trio.testing.wait_all_tasks_blocked()
-        connection.close_politely()
+        connection.close_gracefully()
         await caller.send_all(b"\r\n" if busy else b"")
         data = await read_all(caller)
         assert statuses(data) == ([200] if busy else [])
--- a/agatetack/callers/writer.py
+++ b/agatetack/callers/writer.py
@@ -57,9 +57,9 @@
     """Writes answers one after the other to one stream.
 
     Attributes:
-        sending_since: When the current send began, or None. `watch` resets the
-            connection when that is too long ago; a timeout around each send
-            would cost more than the send.
+        sending_since: When the current send began, or None.
+            `reap_connections` resets the connection when that is too long
+            ago; a timeout around each send would cost more than the send.
     """
 
     def __init__(self, stream: trio.abc.Stream):
