--- a/agatetack/callers/connection.py
+++ b/agatetack/callers/connection.py
@@ -164,9 +164,9 @@
             raise CallerGone from error
         finally:
             self.reading = False
-        self._take(data)
+        self._feed(data)
 
-    def _take(self, data: bytes) -> None:
+    def _feed(self, data: bytes) -> None:
         """Parse received bytes; no bytes mean the end of the stream."""
         if not data:
             self.ended = True
@@ -175,7 +175,7 @@
         self.last_byte_at = Deadline(trio.current_time())
         self.parser.feed(data)
 
-    async def _next(self) -> ParsedRequest | None:
+    async def _next_request(self) -> ParsedRequest | None:
         while not self.parser.ready:
             if self.ended or self.parser.broken:
                 return None
@@ -190,7 +190,7 @@
     async def _answer_all(self) -> None:
         keep = True
         while keep:
-            parsed = await self._next()
+            parsed = await self._next_request()
             if parsed is None:
                 return
             self.busy = True
@@ -266,7 +266,7 @@
             return body_too_large_refusal(self.settings.max_body_bytes)
         if parsed.expects_continue and not parsed.body.received:
             await self.writer.send(CONTINUE)
-        body = await self._hold_body(parsed, found.deadline)
+        body = await self._buffer_body(parsed, found.deadline)
         if isinstance(body, Refusal):
             return body
         deadline = found.deadline
@@ -288,7 +288,7 @@
             deadline_given=found.deadline is not None,
         )
 
-    async def _hold_body(
+    async def _buffer_body(
         self, parsed: ParsedRequest, deadline: Deadline | None
     ) -> Body | Refusal:
         """Return the body in memory if it is small, else as a stream.
@@ -323,7 +323,7 @@
         version = "1.1" if head is None else head.version
         try:
             keep = await self.writer.write(
-                answer, method, version, self._closes(parsed)
+                answer, method, version, self._closes_connection(parsed)
             )
             self.answered = True
             return keep
@@ -334,19 +334,19 @@
             with trio.CancelScope(shield=True):
                 await answer.aclose()
 
-    def _closes(self, parsed: ParsedRequest) -> bool:
+    def _closes_connection(self, parsed: ParsedRequest) -> bool:
         """Return whether the connection ends with the answer to `parsed`."""
         if parsed.head is None:
             return True
         # The unread rest of a body would be parsed as the next request.
         return (
-            (self.closing and self._may_close())
+            (self.closing and self._may_close_after_answer())
             or not parsed.head.keep_alive
             or self.parser.broken
             or not parsed.body.complete
         )
 
-    def _may_close(self) -> bool:
+    def _may_close_after_answer(self) -> bool:
         """Return whether a drain may end the connection with this answer."""
         return True
 
--- a/agatetack/callers/parser.py
+++ b/agatetack/callers/parser.py
@@ -34,7 +34,7 @@
         self.lost = False
 
     @property
-    def held_bytes(self) -> int:
+    def unread_bytes(self) -> int:
         """Return how many bytes were received but not consumed."""
         return sum(map(len, self.parts))
 
@@ -180,15 +180,15 @@
     def on_url(self, url: bytes) -> None:
         """Add a part of the request target; called by the parser."""
         self.target += url
-        self._count(len(url))
+        self._count_head_bytes(len(url))
 
     def on_header(self, name: bytes, value: bytes) -> None:
         """Add a header field; called by the parser."""
-        self._count(len(name) + len(value) + 4)
+        self._count_head_bytes(len(name) + len(value) + 4)
         if not self.in_trailer:
             self.headers.append(Header(name.lower(), value))
 
-    def _count(self, size: int) -> None:
+    def _count_head_bytes(self, size: int) -> None:
         self.head_bytes += size
         if self.head_bytes > self.max_header_bytes:
             self.head_too_large = True
@@ -201,7 +201,7 @@
         if self.head_too_large:
             self._break_too_large()
             return
-        if not self._framing_is_clear():
+        if not self._has_unambiguous_framing():
             self._break(
                 RefusalReason.MALFORMED_REQUEST,
                 "Only the transfer coding `chunked` is taken, in HTTP/1.1.",
@@ -224,7 +224,7 @@
                 request.expects_continue = True
         self.ready.append(request)
 
-    def _framing_is_clear(self) -> bool:
+    def _has_unambiguous_framing(self) -> bool:
         """Return whether all parsers agree on where the body ends.
 
         httptools assumes no body for an unknown transfer coding, and other
--- a/agatetack/callers/read_ahead.py
+++ b/agatetack/callers/read_ahead.py
@@ -31,9 +31,9 @@
     """A connection that one task reads while others answer its requests.
 
     Attributes:
-        under_way: Requests started and not yet fully answered.
-        progress: Set and replaced when bytes or the stream's end arrive.
-        wanted: Set when a request or body needs more bytes.
+        unanswered: Requests started and not yet fully answered.
+        input_arrived: Set and replaced when bytes or the stream's end arrive.
+        bytes_wanted: Set when a request or body needs more bytes.
         answered_one: Set and replaced when a request was answered.
         lost: Whether the connection is lost.
     """
@@ -41,9 +41,9 @@
     def __init__(self, *args, **kwargs):
         """Take the arguments of `CallerConnection`."""
         super().__init__(*args, **kwargs)
-        self.under_way = 0
-        self.progress = trio.Event()
-        self.wanted = trio.Event()
+        self.unanswered = 0
+        self.input_arrived = trio.Event()
+        self.bytes_wanted = trio.Event()
         self.answered_one = trio.Event()
         self.lost = False
 
@@ -56,21 +56,21 @@
     async def _read_ahead(self) -> None:
         while not (self.ended or self.lost or self.parser.broken):
             if self._is_full():
-                self.wanted = trio.Event()
-                await self.wanted.wait()
+                self.bytes_wanted = trio.Event()
+                await self.bytes_wanted.wait()
             try:
                 await super()._read_more()
-                self._read_rest()
+                self._read_available()
             except (CallerGone, trio.BrokenResourceError):
                 self.lost = True
             self._drop_if_gone()
-            self.progress.set()
-            self.progress = trio.Event()
+            self.input_arrived.set()
+            self.input_arrived = trio.Event()
         if self._is_gone() and self.busy:
             self.metrics.refused(None, RefusalReason.CALLER_GONE)
             self.abort()
 
-    def _read_rest(self) -> None:
+    def _read_available(self) -> None:
         """Read all bytes that have arrived, and the stream's end if it has.
 
         A host that was busy or paused finds requests whose callers left long
@@ -86,7 +86,7 @@
             data = transport.receive_nowait()
             if data is None:
                 return
-            self._take(data)
+            self._feed(data)
 
     def _is_gone(self) -> bool:
         """Return whether the caller no longer waits for answers."""
@@ -102,7 +102,7 @@
         if len(self.parser.ready) >= MAX_READ_AHEAD_REQUESTS:
             return True
         body = self.parser.body
-        return body is not None and body.held_bytes >= MAX_READ_AHEAD_BYTES
+        return body is not None and body.unread_bytes >= MAX_READ_AHEAD_BYTES
 
     async def _read_more(self) -> None:
         """Wait until the reading task has received something.
@@ -111,9 +111,9 @@
             CallerGone: The connection is lost.
         """
         if not (self.lost or self.ended):
-            progress = self.progress
-            self.wanted.set()
-            await progress.wait()
+            input_arrived = self.input_arrived
+            self.bytes_wanted.set()
+            await input_arrived.wait()
         if self.lost:
             raise CallerGone
 
@@ -121,10 +121,10 @@
         before = trio.Event()
         before.set()
         async with trio.open_nursery() as nursery:
-            while (parsed := await self._next()) is not None:
+            while (parsed := await self._next_request()) is not None:
                 self.busy = True
-                self.under_way += 1
-                await self._wait_for_room(parsed, before)
+                self.unanswered += 1
+                await self._wait_until_startable(parsed, before)
                 done = trio.Event()
                 nursery.start_soon(
                     self._answer_in_turn,
@@ -135,13 +135,13 @@
                 )
                 before = done
 
-    async def _wait_for_room(
+    async def _wait_until_startable(
         self, parsed: ParsedRequest, before: trio.Event
     ) -> None:
         """Wait until `parsed` may run beside the earlier requests."""
-        if not _is_plain(parsed):
+        if not _is_pipelinable(parsed):
             await before.wait()
-        while self.under_way > self.settings.pipeline_depth:
+        while self.unanswered > self.settings.pipeline_depth:
             await self.answered_one.wait()
 
     async def _answer_in_turn(
@@ -149,29 +149,29 @@
         parsed: ParsedRequest,
         before: trio.Event,
         done: trio.Event,
-        rest: trio.CancelScope,
+        requests_scope: trio.CancelScope,
     ) -> None:
         """Answer a request after the earlier ones of the connection.
 
         Requests after an answer that ends the connection are cancelled.
         """
         keep = await self._answer_one(parsed, before)
-        self.under_way -= 1
-        if not self.under_way:
+        self.unanswered -= 1
+        if not self.unanswered:
             self.busy = False
             self.idle_since = Deadline(trio.current_time())
         done.set()
         self.answered_one.set()
         self.answered_one = trio.Event()
         if not keep:
-            rest.cancel()
+            requests_scope.cancel()
 
-    def _may_close(self) -> bool:
+    def _may_close_after_answer(self) -> bool:
         """Return whether no request follows the one being answered."""
-        return self.under_way <= 1 and not self.parser.ready
+        return self.unanswered <= 1 and not self.parser.ready
 
 
-def _is_plain(parsed: ParsedRequest) -> bool:
+def _is_pipelinable(parsed: ParsedRequest) -> bool:
     """Return whether a request has a safe method and is complete."""
     head = parsed.head
     return (
--- a/agatetack/callers/server.py
+++ b/agatetack/callers/server.py
@@ -48,7 +48,9 @@
         self.tls = tls
         self.limits = settings.callers
         ahead = self.limits.pipeline_depth > 1 or self.limits.end_means_gone
-        self.kind = ReadAheadConnection if ahead else CallerConnection
+        self.connection_class = (
+            ReadAheadConnection if ahead else CallerConnection
+        )
         self.connections: set[CallerConnection] = set()
         self.closing = False
         self.ended = trio.Event()
@@ -71,7 +73,7 @@
             try:
                 with self.accepting:
                     await self._accept_all(listener, nursery)
-                self._accept_rest(listener, nursery)
+                self._accept_pending(listener, nursery)
             finally:
                 listener.close()
             await self._serve_to_the_end(nursery)
@@ -92,17 +94,19 @@
                 log.warning("Accept failed: %s.", error)
                 await trio.sleep(ACCEPT_RETRY_SECONDS)
                 continue
-            self._begin(stream, nursery)
+            self._start_connection(stream, nursery)
 
-    def _accept_rest(
+    def _accept_pending(
         self, listener: PlainListener, nursery: trio.Nursery
     ) -> None:
         """Accept pending connections; closing the listener would reset them."""
         with contextlib.suppress(OSError):
             while (stream := listener.accept_nowait()) is not None:
-                self._begin(stream, nursery)
+                self._start_connection(stream, nursery)
 
-    def _begin(self, stream: PlainStream, nursery: trio.Nursery) -> None:
+    def _start_connection(
+        self, stream: PlainStream, nursery: trio.Nursery
+    ) -> None:
         """Start to serve a connection, which counts as open from now on."""
         if len(self.connections) >= self.limits.max_connections:
             self.metrics.dropped.inc(
@@ -115,7 +119,7 @@
         except OSError:
             stream.close()
             return
-        connection = self.kind(
+        connection = self.connection_class(
             self._wrap(stream),
             peer_ip,
             self.limits,
