--- a/agatetack/callers/connection.py
+++ b/agatetack/callers/connection.py
@@ -11,7 +11,7 @@
     BoundedBody,
     body_too_large_refusal,
 )
-from agatetack.callers.head import read_addressing
+from agatetack.callers.head import read_metadata
 from agatetack.callers.parser import ParsedRequest, RequestParser
 from agatetack.callers.problem import refusal_answer
 from agatetack.callers.writer import CONTINUE, AnswerWriter, abort
@@ -257,10 +257,10 @@
 
     async def _build(self, parsed: ParsedRequest) -> CallerRequest | Refusal:
         head = parsed.head
-        addressing = read_addressing(head, self.settings, self.peer_ip)
-        if isinstance(addressing, Failure):
-            return addressing.failure()
-        found = addressing.unwrap()
+        metadata = read_metadata(head, self.settings, self.peer_ip)
+        if isinstance(metadata, Failure):
+            return metadata.failure()
+        found = metadata.unwrap()
         length = parsed.body.length
         if length is not None and length > self.settings.max_body_bytes:
             return body_too_large_refusal(self.settings.max_body_bytes)
--- a/agatetack/callers/head.py
+++ b/agatetack/callers/head.py
@@ -43,7 +43,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Addressing:
+class RequestMetadata:
     """Destination, identifiers and deadline of a request.
 
     Attributes:
@@ -63,7 +63,7 @@
     deadline: Deadline | None
 
 
-class _Place(NamedTuple):
+class _Destination(NamedTuple):
     """Path and host of a request."""
 
     path: bytes
@@ -74,9 +74,9 @@
     return Failure(refuse(RefusalReason.MALFORMED_REQUEST, detail))
 
 
-def read_addressing(
+def read_metadata(
     head: RequestHead, settings: CallersSettings, peer_ip: str
-) -> Result[Addressing, Refusal]:
+) -> Result[RequestMetadata, Refusal]:
     """Return a request's destination, or why its header is refused.
 
     Args:
@@ -84,10 +84,10 @@
         settings: Names of headers, and bounds of deadlines.
         peer_ip: The caller's IP address, its name if it sends none.
     """
-    place = _read_place(head)
-    if isinstance(place, Failure):
-        return place
-    path, host = place.unwrap()
+    destination = _read_destination(head)
+    if isinstance(destination, Failure):
+        return destination
+    path, host = destination.unwrap()
     names = settings.headers
     key = find_header(head.headers, names.idempotency_key.encode())
     if key is not None and not _is_token(key):
@@ -102,7 +102,7 @@
     if isinstance(deadline, Failure):
         return deadline
     return Success(
-        Addressing(
+        RequestMetadata(
             path=path,
             host=host,
             request_id=_read_request_id(head, names.request_id.encode()),
@@ -113,7 +113,7 @@
     )
 
 
-def _read_place(head: RequestHead) -> Result[_Place, Refusal]:
+def _read_destination(head: RequestHead) -> Result[_Destination, Refusal]:
     """Return the path and host of a request.
 
     Targets and proxies have to see the path that the route was chosen by, so
@@ -130,7 +130,7 @@
         return _malformed("The request target must be a path.")
     if b"#" in path or DOT_SEGMENT.search(path.partition(b"?")[0]):
         return _malformed("The path has a fragment or a dot segment.")
-    return Success(_Place(path, _without_port(host).lower()))
+    return Success(_Destination(path, _without_port(host).lower()))
 
 
 def _is_token(value: bytes) -> bool:
--- a/agatetack/callers/problem.py
+++ b/agatetack/callers/problem.py
@@ -15,8 +15,8 @@
 
 def refusal_status(refusal: Refusal, settings: CallersSettings) -> int:
     """Return the HTTP status of a refusal, with the settings' overrides."""
-    own = settings.refusal_statuses.get(refusal.reason.value)
-    status = refusal.status if own is None else own
+    override = settings.refusal_statuses.get(refusal.reason.value)
+    status = refusal.status if override is None else override
     if settings.statuses_promise:
         return promised_status(status, refusal.outcome)
     return status
@@ -49,12 +49,12 @@
     ]
     if refusal.retry_at is not None:
         left = max(0.0, refusal.retry_at - trio.current_time())
-        text = _seconds_text(left, settings.retry_after_decimals)
+        text = _format_retry_after(left, settings.retry_after_decimals)
         headers.append(Header(b"retry-after", text))
     return Answer(status, headers, BytesBody(orjson.dumps(problem)))
 
 
-def _seconds_text(seconds: float, decimals: int) -> bytes:
+def _format_retry_after(seconds: float, decimals: int) -> bytes:
     """Return `seconds`, rounded up so that no caller retries too early."""
     unit = 10**decimals
     return b"%.*f" % (decimals, math.ceil(seconds * unit) / unit)
