--- a/agatetack/download/ranges.py
+++ b/agatetack/download/ranges.py
@@ -11,7 +11,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Extent:
+class ByteRange:
     """The byte range of a resource that an answer contains.
 
     Attributes:
@@ -33,9 +33,9 @@
     return etag
 
 
-def answer_extent(
+def answer_byte_range(
     status: int, headers: Headers, length: int | None
-) -> Extent | None:
+) -> ByteRange | None:
     """Return the byte range of an answer, or None if not stated or invalid.
 
     Args:
@@ -46,13 +46,16 @@
     if length is None or length == 0:
         return None
     if status == WHOLE_STATUS:
-        return Extent(0, length - 1, length)
+        return ByteRange(0, length - 1, length)
     if status != PARTIAL_STATUS:
         return None
     match = CONTENT_RANGE.match(find_header(headers, b"content-range") or b"")
     if match is None:
         return None
-    extent = Extent(*(int(group) for group in match.groups()))
-    if extent.last - extent.first + 1 != length or extent.last >= extent.total:
+    byte_range = ByteRange(*(int(group) for group in match.groups()))
+    if (
+        byte_range.last - byte_range.first + 1 != length
+        or byte_range.last >= byte_range.total
+    ):
         return None
-    return extent
+    return byte_range
--- a/agatetack/download/resume.py
+++ b/agatetack/download/resume.py
@@ -12,8 +12,8 @@
 from agatetack.download.ranges import (
     PARTIAL_STATUS,
     WHOLE_STATUS,
-    Extent,
-    answer_extent,
+    ByteRange,
+    answer_byte_range,
     strong_validator,
 )
 from agatetack.ids import Deadline
@@ -54,7 +54,7 @@
 
     Attributes:
         position: Bytes given to the caller so far.
-        extent: The byte range that the first answer announced.
+        byte_range: The byte range that the first answer announced.
     """
 
     def __init__(
@@ -73,7 +73,7 @@
         self.body = answer.body
         self.length = answer.body.length
         self.validator = strong_validator(answer.headers)
-        self.extent = answer_extent(
+        self.byte_range = answer_byte_range(
             answer.status, answer.headers, answer.body.length
         )
         self.position = 0
@@ -130,7 +130,7 @@
         await self._take_over(result.unwrap())
 
     def _check_resumable(self) -> None:
-        if self.extent is None:
+        if self.byte_range is None:
             raise self._cut(CutReason.NO_LENGTH)
         if self.validator is None:
             raise self._cut(CutReason.NO_VALIDATOR)
@@ -151,13 +151,13 @@
         return Deadline(trio.current_time() + self.route.deadline_seconds)
 
     def _range_request(self) -> CallerRequest:
-        first = self.extent.first + self.position
+        first = self.byte_range.first + self.position
         headers = [
             header
             for header in self.request.headers
             if header.name not in RANGE_HEADERS
         ]
-        span = b"bytes=%d-%d" % (first, self.extent.last)
+        span = b"bytes=%d-%d" % (first, self.byte_range.last)
         headers.append(Header(b"range", span))
         headers.append(Header(b"if-range", self.validator))
         return dataclasses.replace(
@@ -183,17 +183,19 @@
         """Return why `answer` can't continue the body, or None if it can."""
         if strong_validator(answer.headers) != self.validator:
             return CutReason.CHANGED
-        extent = answer_extent(
+        byte_range = answer_byte_range(
             answer.status, answer.headers, answer.body.length
         )
         if answer.status == PARTIAL_STATUS:
-            first = self.extent.first + self.position
-            wanted = Extent(first, self.extent.last, self.extent.total)
-            return None if extent == wanted else CutReason.WRONG_RANGE
+            first = self.byte_range.first + self.position
+            wanted = ByteRange(
+                first, self.byte_range.last, self.byte_range.total
+            )
+            return None if byte_range == wanted else CutReason.WRONG_RANGE
         # A target without range support sends the whole resource again. The
         # bytes that the caller has are skipped, which is right only if the
         # caller asked for the whole resource.
-        if extent is not None and extent == self.extent:
+        if byte_range is not None and byte_range == self.byte_range:
             return None
         return CutReason.WRONG_RANGE
 
--- a/agatetack/download/test_resume.py
+++ b/agatetack/download/test_resume.py
@@ -7,7 +7,11 @@
 from returns.result import Failure, Success
 
 from agatetack.config.route import RequestClass, Route
-from agatetack.download.ranges import Extent, answer_extent, strong_validator
+from agatetack.download.ranges import (
+    ByteRange,
+    answer_byte_range,
+    strong_validator,
+)
 from agatetack.download.resume import ResumingBody
 from agatetack.ids import (
     CallerId,
@@ -199,10 +203,10 @@
 @pytest.mark.parametrize(
     ("status", "content_range", "length", "expected"),
     [
-        (200, None, 5, Extent(0, 4, 5)),
+        (200, None, 5, ByteRange(0, 4, 5)),
         (200, None, None, None),
         (200, None, 0, None),
-        (206, b"bytes 2-4/9", 3, Extent(2, 4, 9)),
+        (206, b"bytes 2-4/9", 3, ByteRange(2, 4, 9)),
         (206, b"bytes 2-4/9", 4, None),
         (206, b"bytes 2-9/9", 8, None),
         (206, b"bytes 2-4/*", 3, None),
@@ -217,7 +221,7 @@
     headers = []
     if content_range is not None:
         headers.append(Header(b"content-range", content_range))
-    assert answer_extent(status, headers, length) == expected
+    assert answer_byte_range(status, headers, length) == expected
 
 
 @pytest.mark.parametrize(
