--- a/agatetack/download/resume.py
+++ b/agatetack/download/resume.py
@@ -29,7 +29,7 @@
 from agatetack.metrics import Metrics
 from agatetack.outcomes import RetryReason
 
-MAX_FRUITLESS = 3
+MAX_RESUMES_WITHOUT_PROGRESS = 3
 """Resumptions in a row without a new byte before the answer is cut."""
 
 RANGE_HEADERS = frozenset({b"range", b"if-range"})
@@ -77,7 +77,7 @@
             answer.status, answer.headers, answer.body.length
         )
         self.position = 0
-        self.fruitless = 0
+        self.resumes_without_progress = 0
 
     def receive_nowait(self) -> bytes | None:
         """Return the bytes already received, or None."""
@@ -107,7 +107,7 @@
     def _advance(self, data: bytes) -> None:
         self.position += len(data)
         if data:
-            self.fruitless = 0
+            self.resumes_without_progress = 0
 
     def _is_whole(self) -> bool:
         return self.length is None or self.position == self.length
@@ -115,7 +115,7 @@
     async def _resume(self) -> None:
         await self.body.aclose()
         self._check_resumable()
-        self.fruitless += 1
+        self.resumes_without_progress += 1
         self.metrics.retried(self.route.id, RetryReason.RESUME)
         log.request(
             self.request.request_id,
@@ -126,18 +126,18 @@
             self.route, self._range_request(), hedged=False
         )
         if isinstance(result, Failure):
-            raise self._cut(CutReason.REFUSED)
-        await self._take_over(result.unwrap())
+            raise self._cut_error(CutReason.REFUSED)
+        await self._continue_with(result.unwrap())
 
     def _check_resumable(self) -> None:
         if self.byte_range is None:
-            raise self._cut(CutReason.NO_LENGTH)
+            raise self._cut_error(CutReason.NO_LENGTH)
         if self.validator is None:
-            raise self._cut(CutReason.NO_VALIDATOR)
-        if self.fruitless >= MAX_FRUITLESS:
-            raise self._cut(CutReason.FRUITLESS)
+            raise self._cut_error(CutReason.NO_VALIDATOR)
+        if self.resumes_without_progress >= MAX_RESUMES_WITHOUT_PROGRESS:
+            raise self._cut_error(CutReason.FRUITLESS)
         if self._deadline() <= trio.current_time():
-            raise self._cut(CutReason.DEADLINE)
+            raise self._cut_error(CutReason.DEADLINE)
 
     def _deadline(self) -> Deadline:
         """Return when the next answer must have begun.
@@ -167,11 +167,11 @@
             deadline=self._deadline(),
         )
 
-    async def _take_over(self, answer: Answer) -> None:
+    async def _continue_with(self, answer: Answer) -> None:
         reason = self._mismatch(answer)
         if reason is not None:
             await answer.aclose()
-            raise self._cut(reason)
+            raise self._cut_error(reason)
         self.body = answer.body
         if answer.status == WHOLE_STATUS:
             # If the body is cut off while it is skipped, the next read
@@ -207,10 +207,10 @@
             if not data:
                 return
             if len(data) > left:
-                self.body = _Rest(data[left:], self.body)
+                self.body = _PrefixedBody(data[left:], self.body)
             left -= len(data)
 
-    def _cut(self, reason: CutReason) -> AnswerCut:
+    def _cut_error(self, reason: CutReason) -> AnswerCut:
         self.metrics.dropped.inc({"part": "download", "reason": reason.value})
         log.request(
             self.request.request_id,
@@ -225,19 +225,19 @@
         await self.body.aclose()
 
 
-class _Rest(Body):
-    """The rest of a received chunk, followed by the body it came from."""
+class _PrefixedBody(Body):
+    """Bytes received already, followed by the body they came from."""
 
-    def __init__(self, rest: bytes, body: Body):
-        """Return `rest` before the bytes of `body`."""
-        self.rest = rest
+    def __init__(self, prefix: bytes, body: Body):
+        """Return `prefix` before the bytes of `body`."""
+        self.prefix = prefix
         self.body = body
 
     async def receive(self) -> bytes:
-        """Return the rest, then the bytes of the body."""
-        if self.rest:
-            rest, self.rest = self.rest, b""
-            return rest
+        """Return the prefix, then the bytes of the body."""
+        if self.prefix:
+            prefix, self.prefix = self.prefix, b""
+            return prefix
         return await self.body.receive()
 
     async def aclose(self) -> None:
