--- a/agatetack/lifecycle/drain.py
+++ b/agatetack/lifecycle/drain.py
@@ -27,7 +27,7 @@
 READY_POLL_SECONDS = 0.02
 """Interval at which a starting host checks whether it is ready."""
 
-FLUSH_SHARE = 0.1
+FLUSH_TIME_RATIO = 0.1
 """Share of the drain time reserved for flushes if requests don't end."""
 
 STOP_SIGNALS = (signal.SIGTERM, signal.SIGINT)
@@ -78,7 +78,7 @@
         self.in_flight = InFlightRequests()
         self.closing = trio.Event()
         self.drain_until: Deadline | None = None
-        self.warm_until: Deadline | None = None
+        self.warm_up_until: Deadline | None = None
         self.view: ReadinessView | None = None
         self.leaving_hooks: list[Hook] = []
         self.closing_hooks: list[Hook] = []
@@ -124,7 +124,7 @@
             return NotReady(NotReadyReason.DRAINING, "This host is leaving.")
         if self.phase is Phase.STOPPED:
             return NotReady(NotReadyReason.STOPPED, "This host has stopped.")
-        return self._not_started()
+        return self._check_startup()
 
     async def run_until_ready(self, view: ReadinessView) -> None:
         """Become ready as soon as `view` allows, then return.
@@ -134,7 +134,7 @@
         """
         self.view = view
         while self.phase is Phase.STARTING:
-            if self._not_started() is None:
+            if self._check_startup() is None:
                 self._enter(Phase.READY)
                 return
             await trio.sleep(READY_POLL_SECONDS)
@@ -151,7 +151,9 @@
         """Drain at the first of `signals`; end the drain at the second."""
         await anext(signals)
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(self._end_on, signals, nursery.cancel_scope)
+            nursery.start_soon(
+                self._cancel_on_signal, signals, nursery.cancel_scope
+            )
             report = await self.drain()
             nursery.cancel_scope.cancel()
             return report
@@ -174,7 +176,7 @@
         self.closing.set()
         for hook in self.closing_hooks:
             hook()
-        with trio.move_on_at(self._flush_at()):
+        with trio.move_on_at(self._flush_start()):
             await self.in_flight.wait_empty()
         await self._flush()
         # A request that runs longer than the flushes may still end in time.
@@ -182,22 +184,24 @@
             await self.in_flight.wait_empty()
         return self._stop()
 
-    def _flush_at(self) -> Deadline:
+    def _flush_start(self) -> Deadline:
         """Return when flushes begin, even with requests in flight."""
-        kept = FLUSH_SHARE * self.settings.drain_seconds
-        return Deadline(self.drain_until - (kept if self.flushes else 0))
+        reserved_seconds = FLUSH_TIME_RATIO * self.settings.drain_seconds
+        return Deadline(
+            self.drain_until - (reserved_seconds if self.flushes else 0)
+        )
 
-    def _not_started(self) -> NotReady | None:
+    def _check_startup(self) -> NotReady | None:
         if self.view is None or not self.view.configured():
             return NotReady(
                 NotReadyReason.NO_CONFIGURATION,
                 "This host has no configuration yet.",
             )
-        if self.warm_until is None:
+        if self.warm_up_until is None:
             seconds = self.settings.warm_up_seconds
-            self.warm_until = Deadline(self.clock.now() + seconds)
+            self.warm_up_until = Deadline(self.clock.now() + seconds)
         routes = self.view.unmeasured_routes()
-        if routes and self.clock.now() < self.warm_until:
+        if routes and self.clock.now() < self.warm_up_until:
             return not_measured(routes)
         return None
 
@@ -223,7 +227,7 @@
         else:
             self.unflushed.remove(name)
 
-    async def _end_on(
+    async def _cancel_on_signal(
         self, signals: AsyncIterator[int], scope: trio.CancelScope
     ) -> None:
         await anext(signals)
--- a/agatetack/lifecycle/readiness.py
+++ b/agatetack/lifecycle/readiness.py
@@ -7,7 +7,7 @@
 
 from agatetack.ids import RouteId
 
-NAMED_ROUTES = 5
+MAX_NAMED_ROUTES = 5
 """Maximum number of routes listed in one message."""
 
 
@@ -47,8 +47,8 @@
 
 def not_measured(routes: Sequence[RouteId]) -> NotReady:
     """Return the reason that no target of `routes` is measured yet."""
-    named = ", ".join(routes[:NAMED_ROUTES])
-    more = len(routes) - NAMED_ROUTES
+    named = ", ".join(routes[:MAX_NAMED_ROUTES])
+    more = len(routes) - MAX_NAMED_ROUTES
     rest = f" and {more} more" if more > 0 else ""
     return NotReady(
         NotReadyReason.TARGETS_NOT_MEASURED,
--- a/agatetack/lifecycle/status.py
+++ b/agatetack/lifecycle/status.py
@@ -35,13 +35,13 @@
         self.lifecycle = lifecycle
 
     async def handle(self, request: CallerRequest) -> Answer:
-        """Return 200 if the host is ready, else 503 and why not."""
+        """Return 200 if the host is ready, else 503 and the reason."""
         if request.path != self.path:
             return _text(NOT_FOUND, b"there is nothing here\n")
-        why = self.lifecycle.not_ready()
-        if why is None:
+        not_ready = self.lifecycle.not_ready()
+        if not_ready is None:
             return _text(OK, b"ready\n")
-        return _text(NOT_READY, f"{why.detail}\n".encode())
+        return _text(NOT_READY, f"{not_ready.detail}\n".encode())
 
 
 class MetricsHandler(Handler):
