--- a/agatetack/record_log/http_log.py
+++ b/agatetack/record_log/http_log.py
@@ -26,7 +26,7 @@
 )
 from agatetack.record_log.messages import (
     APPEND_REPLY,
-    PAGE_BYTES,
+    MAX_PAGE_BYTES,
     PAGE_REPLY,
     ErrorReply,
     PageReply,
@@ -42,13 +42,13 @@
 REPLY_MARGIN_SECONDS = 0.25
 """Time reserved for the reply of a read that waits until its deadline."""
 
-TOO_FAST_SECONDS = 0.1
+DEFAULT_RETRY_SECONDS = 0.1
 """Retry delay after a refusal that states none."""
 
-BASE64_GROWTH = 2
+MAX_BASE64_RATIO = 2
 """Upper bound of the factor by which Base64 lengthens a payload."""
 
-RECORD_FRAME_BYTES = 128
+MAX_RECORD_FRAME_BYTES = 128
 """Maximum bytes of JSON around one payload."""
 
 
@@ -118,13 +118,13 @@
             }
         )
         until = now + wait_seconds + self.settings.timeout_seconds
-        longest = max(PAGE_BYTES, self.settings.max_record_bytes)
+        max_payload_bytes = max(MAX_PAGE_BYTES, self.settings.max_record_bytes)
         request = PlatformRequest(
             "GET",
             f"{_path(stream)}?{query}",
             min(deadline, until),
-            max_reply_bytes=BASE64_GROWTH * longest
-            + RECORD_FRAME_BYTES * (max_records + 1),
+            max_reply_bytes=MAX_BASE64_RATIO * max_payload_bytes
+            + MAX_RECORD_FRAME_BYTES * (max_records + 1),
         )
         try:
             reply = await self.caller.call(request)
@@ -156,7 +156,7 @@
 
 
 def _retry_at(refusal: ErrorReply) -> Deadline:
-    seconds = TOO_FAST_SECONDS
+    seconds = DEFAULT_RETRY_SECONDS
     if refusal.retry_after_ms is not None:
         seconds = refusal.retry_after_ms / 1000
     return Deadline(trio.current_time() + seconds)
--- a/agatetack/record_log/messages.py
+++ b/agatetack/record_log/messages.py
@@ -6,7 +6,7 @@
 
 import pydantic
 
-PAGE_BYTES = 1 << 20
+MAX_PAGE_BYTES = 1 << 20
 """Maximum payload bytes in one page, unless a single record is larger."""
 
 Offset = Annotated[int, pydantic.Field(ge=0, strict=True)]
--- a/agatetack/testing/platform_server.py
+++ b/agatetack/testing/platform_server.py
@@ -24,7 +24,7 @@
     LogUnavailable,
 )
 from agatetack.record_log.messages import (
-    PAGE_BYTES,
+    MAX_PAGE_BYTES,
     AppendReply,
     ErrorReply,
     PageReply,
@@ -250,7 +250,7 @@
     size = 0
     for record in page.records:
         size += len(record.payload)
-        if records and size > PAGE_BYTES:
+        if records and size > MAX_PAGE_BYTES:
             break
         payload = base64.b64encode(record.payload).decode()
         records.append(RecordBody(payload, record.appended_at))
