--- a/agatetack/record_log/test_log_contract.py
+++ b/agatetack/record_log/test_log_contract.py
@@ -41,7 +41,7 @@
 """The default of platform.log.max_record_bytes."""
 
 REAL_LOG = os.environ.get("AGATETACK_LOG")
-PATIENCE_SECONDS = 5.0
+TIMEOUT_SECONDS = 5.0
 TRY_SECONDS = 0.2
 PAIR_TRY_SECONDS = 0.04
 """Shorter, as a pair of faults may have any result that matches the log."""
@@ -50,21 +50,21 @@
 SETTLE_SECONDS = 0.035
 
 
-def soon(seconds: float = PATIENCE_SECONDS) -> Deadline:
+def deadline_in(seconds: float = TIMEOUT_SECONDS) -> Deadline:
     return Deadline(trio.current_time() + seconds)
 
 
 async def append(world: World, payload: bytes = b"x") -> LogOffset:
-    return await world.logs[0].append(world.stream, payload, soon())
+    return await world.logs[0].append(world.stream, payload, deadline_in())
 
 
 async def payloads(world: World) -> list[bytes]:
-    page = await world.logs[1].read(world.stream, LogOffset(0), soon())
+    page = await world.logs[1].read(world.stream, LogOffset(0), deadline_in())
     return [record.payload for record in page.records]
 
 
-STAND_INS = {"memory": memory_world, "http": http_world}
-WORLDS = dict(STAND_INS)
+FAKE_WORLDS = {"memory": memory_world, "http": http_world}
+WORLDS = dict(FAKE_WORLDS)
 if REAL_LOG:
     WORLDS["real"] = functools.partial(real_world, REAL_LOG)
 all_worlds = pytest.mark.parametrize("name", WORLDS)
@@ -86,24 +86,24 @@
     for number in range(5):
         await append(world, b"%d" % number)
     log, stream = world.logs[0], world.stream
-    page = await log.read(stream, LogOffset(1), soon(), max_records=3)
+    page = await log.read(stream, LogOffset(1), deadline_in(), max_records=3)
     assert [record.offset for record in page.records] == [1, 2, 3]
     assert (page.first, page.end) == (0, 5)
-    page = await log.read(stream, LogOffset(5), soon())
+    page = await log.read(stream, LogOffset(5), deadline_in())
     assert (list(page.records), page.end) == ([], 5)
 
 
 async def new_stream_is_empty(world: World):
-    page = await world.logs[0].read(world.stream, LogOffset(0), soon())
+    page = await world.logs[0].read(world.stream, LogOffset(0), deadline_in())
     assert (list(page.records), page.first, page.end) == ([], 0, 0)
 
 
 async def streams_are_apart(world: World):
     other = StreamId(world.stream + "/ü?#%2F")
     await append(world, b"one")
-    assert await world.logs[0].append(other, b"two", soon()) == 0
+    assert await world.logs[0].append(other, b"two", deadline_in()) == 0
     assert await payloads(world) == [b"one"]
-    page = await world.logs[1].read(other, LogOffset(0), soon())
+    page = await world.logs[1].read(other, LogOffset(0), deadline_in())
     assert page.records[0].payload == b"two"
 
 
@@ -111,7 +111,7 @@
     got: dict[LogOffset, bytes] = {}
 
     async def append_to(log: Log, payload: bytes):
-        got[await log.append(world.stream, payload, soon())] = payload
+        got[await log.append(world.stream, payload, deadline_in())] = payload
 
     async with trio.open_nursery() as nursery:
         for number in range(20):
@@ -127,33 +127,35 @@
         async def wait():
             pages.append(
                 await world.logs[1].read(
-                    world.stream, LogOffset(0), soon(60), soon(50)
+                    world.stream, LogOffset(0), deadline_in(60), deadline_in(50)
                 )
             )
 
         nursery.start_soon(wait)
         await trio.sleep(SETTLE_SECONDS)
         # The waiting read must block neither this append nor other reads.
-        await world.logs[1].append(world.stream, b"x", soon())
+        await world.logs[1].append(world.stream, b"x", deadline_in())
     assert [record.payload for record in pages[0].records] == [b"x"]
 
 
 async def wait_ends_empty(world: World):
-    until = soon(SETTLE_SECONDS)
-    page = await world.logs[0].read(world.stream, LogOffset(0), soon(), until)
+    until = deadline_in(SETTLE_SECONDS)
+    page = await world.logs[0].read(
+        world.stream, LogOffset(0), deadline_in(), until
+    )
     assert not page.records
     assert trio.current_time() >= until - 0.002
 
 
 async def wait_until_deadline_is_no_failure(world: World):
-    deadline = soon(0.4)
+    deadline = deadline_in(0.4)
     page = await world.logs[0].read(
         world.stream, LogOffset(0), deadline, deadline
     )
     assert not page.records
 
 
-SCENES = (
+SCENARIOS = (
     appends_count_up,
     payloads_are_bytes,
     pages_are_consecutive,
@@ -167,10 +169,10 @@
 
 
 @all_worlds
-@pytest.mark.parametrize("scene", SCENES, ids=lambda scene: scene.__name__)
+@pytest.mark.parametrize("scene", SCENARIOS, ids=lambda scene: scene.__name__)
 async def test_without_faults(name, scene):
     async with WORLDS[name]() as world:
-        with trio.fail_after(PATIENCE_SECONDS):
+        with trio.fail_after(TIMEOUT_SECONDS):
             await scene(world)
 
 
@@ -193,7 +195,7 @@
     over_http: bool = False
 
 
-def of_log(**values: object) -> Callable[[World], None]:
+def log_fault(**values: object) -> Callable[[World], None]:
     def begin(world: World) -> None:
         for name, value in values.items():
             setattr(world.service.faults, name, value)
@@ -201,11 +203,11 @@
     return begin
 
 
-def of_append(fault: AppendFault) -> Callable[[World], None]:
+def append_fault(fault: AppendFault) -> Callable[[World], None]:
     return lambda world: world.service.faults.next_appends.append(fault)
 
 
-def of_way(**values: int) -> Callable[[World], None]:
+def http_fault(**values: int) -> Callable[[World], None]:
     def begin(world: World) -> None:
         for name, value in values.items():
             setattr(world.http, name, value)
@@ -214,27 +216,31 @@
 
 
 FAULTS = (
-    Fault("outage", of_log(outage=True), LogUnavailable, 0),
-    Fault("frozen", of_log(frozen=True), LogOutcomeUnknown, 0),
-    Fault("slow", of_log(delay_seconds=0.005), None, 1),
-    Fault("refused", of_append(AppendFault.UNAVAILABLE), LogUnavailable, 0),
-    Fault("too fast", of_append(AppendFault.TOO_FAST), LogTooFast, 0),
+    Fault("outage", log_fault(outage=True), LogUnavailable, 0),
+    Fault("frozen", log_fault(frozen=True), LogOutcomeUnknown, 0),
+    Fault("slow", log_fault(delay_seconds=0.005), None, 1),
+    Fault("refused", append_fault(AppendFault.UNAVAILABLE), LogUnavailable, 0),
+    Fault("too fast", append_fault(AppendFault.TOO_FAST), LogTooFast, 0),
     Fault(
-        "reply lost", of_append(AppendFault.REPLY_LOST), LogOutcomeUnknown, 1
+        "reply lost", append_fault(AppendFault.REPLY_LOST), LogOutcomeUnknown, 1
     ),
     Fault(
         "request lost",
-        of_append(AppendFault.REQUEST_LOST),
+        append_fault(AppendFault.REQUEST_LOST),
         LogOutcomeUnknown,
         0,
     ),
     Fault(
-        "lands late", of_append(AppendFault.LANDS_LATE), LogOutcomeUnknown, 1
+        "lands late", append_fault(AppendFault.LANDS_LATE), LogOutcomeUnknown, 1
+    ),
+    Fault("cut reply", http_fault(cut_replies=1), LogOutcomeUnknown, 1, True),
+    Fault("bare 503", http_fault(bare_errors=1), LogOutcomeUnknown, 1, True),
+    Fault(
+        "malformed", http_fault(malformed_replies=1), LogOutcomeUnknown, 1, True
+    ),
+    Fault(
+        "too large", http_fault(max_record_bytes=0), LogRecordTooLarge, 0, True
     ),
-    Fault("cut reply", of_way(cut_replies=1), LogOutcomeUnknown, 1, True),
-    Fault("bare 503", of_way(bare_errors=1), LogOutcomeUnknown, 1, True),
-    Fault("malformed", of_way(malformed_replies=1), LogOutcomeUnknown, 1, True),
-    Fault("too large", of_way(max_record_bytes=0), LogRecordTooLarge, 0, True),
     Fault("server gone", World.kill, LogUnavailable, 0, True),
 )
 
@@ -242,14 +248,14 @@
 async def try_append(world: World, seconds: float) -> LogError | LogOffset:
     log = world.logs[0]
     try:
-        return await log.append(world.stream, b"tried", soon(seconds))
+        return await log.append(world.stream, b"tried", deadline_in(seconds))
     except LogError as error:
         return error
 
 
 FAULT_CASES = [
     (name, faults)
-    for name in STAND_INS
+    for name in FAKE_WORLDS
     for faults in (
         *itertools.combinations(FAULTS, 1),
         *itertools.combinations(FAULTS, 2),
@@ -264,7 +270,7 @@
     ids=["-".join((n, *(f.name for f in fs))) for n, fs in FAULT_CASES],
 )
 async def test_append_under_faults(name, faults):
-    async with STAND_INS[name]() as world:
+    async with FAKE_WORLDS[name]() as world:
         world.service.faults.late_seconds = LATE_SECONDS
         await append(world, b"before")
         for fault in faults:
@@ -274,7 +280,7 @@
         seconds = TRY_SECONDS if len(faults) == 1 else PAIR_TRY_SECONDS
         result = await try_append(world, seconds)
         with contextlib.suppress(LogUnavailable):
-            deadline = soon(PAIR_TRY_SECONDS)
+            deadline = deadline_in(PAIR_TRY_SECONDS)
             page = await world.logs[1].read(
                 world.stream, LogOffset(0), deadline
             )
@@ -301,9 +307,9 @@
         assert landed == faults[0].landed
 
 
-@pytest.mark.parametrize("name", STAND_INS)
+@pytest.mark.parametrize("name", FAKE_WORLDS)
 async def test_expired_records_are_truncated(name):
-    async with STAND_INS[name]() as world:
+    async with FAKE_WORLDS[name]() as world:
         for number in range(4):
             await append(world, b"%d" % number)
         world.service.truncate(world.stream, 3)
@@ -319,7 +325,7 @@
 
 async def test_killed_in_mid_append_is_unknown():
     async with http_world() as world:
-        world.service.faults.delay_seconds = PATIENCE_SECONDS
+        world.service.faults.delay_seconds = TIMEOUT_SECONDS
         async with trio.open_nursery() as nursery:
 
             async def lose():
