--- a/agatetack/config/__init__.py
+++ b/agatetack/config/__init__.py
@@ -1,1 +1,1 @@
-"""Keep the accepted routes: the fold of the configuration stream."""
+"""Compute the accepted routes by folding the configuration stream."""
--- a/agatetack/config/change.py
+++ b/agatetack/config/change.py
@@ -1,4 +1,4 @@
-"""Define a change of one route and what can become of it."""
+"""Define a change of one route and its possible outcomes."""
 
 import dataclasses
 import enum
@@ -7,20 +7,21 @@
 from agatetack.ids import ChangeId, LogOffset, RouteId, WallTime
 
 NO_VERSION = LogOffset(-1)
-"""Expected of a route that must not exist; also `nothing folded yet`."""
+"""Expected version of a route that must not exist yet; also the version of a
+fold before its first record."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RouteChange:
-    """One operator's change of one route.
+    """A change of one route, requested by an operator.
 
     Attributes:
-        change_id: Chosen by the operator; sending it again changes nothing.
+        change_id: Chosen by the operator; makes retries idempotent.
         route_id: The route to change.
-        route: The route as it should be, or None to delete it.
-        expected_version: Version that the operator has seen, or NO_VERSION
-            if the route must not exist.
-        author: Who wants it.
+        route: The new route, or None to delete it.
+        expected_version: Version that the route must have for the change to
+            be accepted, or NO_VERSION if the route must not exist.
+        author: Who requested the change.
         written_at: When it was written.
     """
 
@@ -33,7 +34,7 @@
 
 
 class RejectReason(enum.Enum):
-    """Why a change did not come into force."""
+    """Why a change was rejected."""
 
     CONFLICT = "conflict"
     PATH_TAKEN = "path-taken"
@@ -45,7 +46,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Accepted:
-    """A change is in force here and will be on every host.
+    """A change is in force on this host and will be on every other.
 
     Attributes:
         version: The route's new version.
@@ -56,12 +57,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Rejected:
-    """A change did not and will not come into force.
+    """A change is not in force and never will be.
 
     Attributes:
-        reason: Why.
-        detail: One sentence for a person.
-        version: The version that stands in the way, or NO_VERSION.
+        reason: Why it was rejected.
+        detail: An explanation for the operator, in one sentence.
+        version: The version that conflicts with the change, or NO_VERSION.
     """
 
     reason: RejectReason
@@ -71,17 +72,17 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class InDoubt:
-    """A change may or may not come into force; ask again by its id.
+    """The outcome of a change is unknown; it can be queried by its id.
 
     Attributes:
-        detail: One sentence for a person.
+        detail: An explanation for the operator, in one sentence.
     """
 
     detail: str
 
 
 class ChangeStatus(enum.Enum):
-    """What a host knows of a change."""
+    """The status of a change, as far as a host knows it."""
 
     ACCEPTED = "accepted"
     REJECTED = "rejected"
@@ -91,11 +92,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ChangeState:
-    """What a host knows of a change, for an operator who asks later.
+    """What a host knows of a change, to answer an operator's query.
 
     Attributes:
-        status: What became of it.
-        version: The accepted version, or the one that stood in the way.
+        status: Its status.
+        version: The accepted version, or the one that it conflicts with.
         reason: Why it was rejected, or None.
     """
 
--- a/agatetack/config/chunks.py
+++ b/agatetack/config/chunks.py
@@ -1,4 +1,4 @@
-"""Cut snapshots into chunks, and put chunks together again."""
+"""Split snapshots into chunks and reassemble them."""
 
 import dataclasses
 import uuid
@@ -17,24 +17,25 @@
 from agatetack.ids import LogOffset
 
 CHUNK_OVERHEAD_BYTES = 128
-"""Room that a chunk's fields take beside its data."""
+"""Bytes reserved for the fields of a chunk other than its data."""
 
 MAX_CHUNKS = 1024
-"""Most chunks of one snapshot."""
+"""Maximum number of chunks of one snapshot."""
 
 MAX_PARTIAL_SNAPSHOTS = 4
-"""Incomplete snapshots held at once; concurrent writers may interleave."""
+"""Maximum number of incomplete snapshots held at once; there may be several, as
+the chunks of concurrent writers may interleave."""
 
 
 def split_snapshot(
     content: bytes, version: LogOffset, max_bytes: int
 ) -> list[wire.SnapshotChunk]:
-    """Return a snapshot as chunks, under an id of its own.
+    """Split a snapshot into chunks that share a new snapshot id.
 
     Args:
         content: The compressed snapshot.
         version: The last offset folded into it.
-        max_bytes: Largest chunk once encoded.
+        max_bytes: Maximum size of an encoded chunk.
     """
     room = max(1, max_bytes - CHUNK_OVERHEAD_BYTES)
     parts = [content[at : at + room] for at in range(0, len(content), room)]
@@ -55,10 +56,10 @@
 
 
 def decode_chunk(payload: bytes) -> wire.SnapshotChunk:
-    """Return the chunk in a record.
+    """Decode the chunk in a record.
 
     Raises:
-        BadRecord: The record holds no chunk of this format.
+        BadRecord: The record is not a chunk in the supported format.
     """
     chunk = decode(wire.SnapshotChunk(), payload)
     check_chunk(chunk)
@@ -66,23 +67,23 @@
 
 
 def check_chunk(chunk: wire.SnapshotChunk) -> None:
-    """Raise BadRecord if a chunk's fields are out of bounds."""
+    """Raise BadRecord if a field of a chunk is out of range."""
     if chunk.format != RECORD_FORMAT:
-        raise BadRecord(f"format {chunk.format} is not known")
+        raise BadRecord(f"format {chunk.format} is not supported")
     if not 0 <= chunk.index < chunk.count <= MAX_CHUNKS:
-        raise BadRecord(f"chunk {chunk.index} of {chunk.count}")
+        raise BadRecord(f"chunk {chunk.index} of {chunk.count} is out of range")
     if chunk.version < 0:
-        raise BadRecord(f"version {chunk.version}")
+        raise BadRecord(f"version {chunk.version} is negative")
 
 
 @dataclasses.dataclass(slots=True)
 class PartialSnapshot:
-    """The chunks of one snapshot seen so far.
+    """The chunks of one snapshot received so far.
 
     Attributes:
         version: The last offset folded into it.
-        count: How many chunks it has.
-        parts: Data of the chunks by index.
+        count: Number of chunks of the complete snapshot.
+        parts: Data of the received chunks by index.
     """
 
     version: LogOffset
@@ -91,15 +92,15 @@
 
     @property
     def complete(self) -> bool:
-        """Return whether no chunk is missing."""
+        """Return whether all chunks were received."""
         return len(self.parts) == self.count
 
 
 class SnapshotReader:
-    """Put chunks of any number of snapshots together, in any order.
+    """Reassemble snapshots from chunks that arrive in any order.
 
     Attributes:
-        newest: The newest whole snapshot, compressed, or None.
+        newest: The newest complete snapshot, compressed, or None.
         version: The last offset folded into it, or NO_VERSION.
         partial: Incomplete snapshots by id.
     """
@@ -111,10 +112,10 @@
         self.partial: dict[str, PartialSnapshot] = {}
 
     def add(self, chunk: wire.SnapshotChunk) -> None:
-        """Take one chunk; keep the snapshot that it completes if newer.
+        """Add a chunk, and keep the snapshot that it completes if newer.
 
         Raises:
-            BadRecord: The snapshot that it completes is damaged.
+            BadRecord: The checksum of the completed snapshot does not match.
         """
         if chunk.version <= self.version:
             return
@@ -138,16 +139,17 @@
         self.version = partial.version
 
     async def load(self) -> Fold | None:
-        """Return the fold of the newest whole snapshot, or None.
+        """Return the fold of the newest complete snapshot, or None.
 
         Raises:
-            BadRecord: It holds no snapshot of this format.
+            BadRecord: The snapshot cannot be decoded, or its version is not
+                that of its chunks.
         """
         if self.newest is None:
             return None
         fold = await decode_snapshot(self.newest)
         if fold.version != self.version:
-            raise BadRecord("a snapshot names two versions")
+            raise BadRecord("the version of a snapshot is not its chunks'")
         return fold
 
     def _drop_oldest(self) -> None:
@@ -159,7 +161,7 @@
 def read_chunks(
     reader: SnapshotReader, payloads: Sequence[bytes]
 ) -> list[BadRecord]:
-    """Give records of the snapshot stream to `reader`; return what is bad."""
+    """Add records of the snapshot stream to `reader`; return the errors."""
     problems = []
     for payload in payloads:
         try:
--- a/agatetack/config/counters.py
+++ b/agatetack/config/counters.py
@@ -1,4 +1,4 @@
-"""Count what happens to the configuration of one host."""
+"""Define the metrics of one host's configuration."""
 
 import enum
 
@@ -8,7 +8,7 @@
 
 
 class Problem(enum.Enum):
-    """What can go wrong while configuration is read, spread or kept."""
+    """Kinds of failures in reading, replicating or storing configuration."""
 
     LOG_UNAVAILABLE = "log-unavailable"
     LOG_TRUNCATED = "log-truncated"
@@ -23,7 +23,7 @@
 
 
 class AppendResult(enum.Enum):
-    """How one append to the configuration stream ended."""
+    """The result of one append to the configuration stream."""
 
     DONE = "done"
     TOO_FAST = "too-fast"
@@ -32,10 +32,13 @@
 
 
 class ConfigCounters:
-    """The counters of this slice; each label exists from the start."""
+    """Metrics of the configuration.
+
+    All verdicts, problems and append results are exported from the start.
+    """
 
     def __init__(self, metrics: Metrics):
-        """Register the counters."""
+        """Register the metrics."""
         self.verdicts = metrics.counter(
             "agatetack_config_verdicts_total",
             "Records of the configuration stream, by what the fold made of it.",
@@ -81,19 +84,19 @@
             self.appends.add({"result": result.value}, 0)
 
     def judged(self, verdict: Verdict) -> None:
-        """Count one record."""
+        """Count a record by its verdict."""
         self.verdicts.inc({"verdict": verdict.value})
 
     def folded(self, source: str, count: int) -> None:
-        """Count records by where they came from."""
+        """Count folded records by source."""
         self.records.add({"source": source}, count)
 
     def loaded(self, source: str) -> None:
-        """Count a snapshot that was taken."""
+        """Count a loaded snapshot by source."""
         self.snapshots_loaded.inc({"source": source})
 
     def written(self) -> None:
-        """Count a snapshot that was written."""
+        """Count a written snapshot."""
         self.snapshots_written.inc({})
 
     def problem(self, problem: Problem) -> None:
@@ -101,15 +104,15 @@
         self.problems.inc({"problem": problem.value})
 
     def appended(self, result: AppendResult) -> None:
-        """Count an append."""
+        """Count an append by its result."""
         self.appends.inc({"result": result.value})
 
     def confirm(self, wall: WallTime) -> None:
-        """Note that this host held the newest version then."""
+        """Set the time at which this host last held the newest version."""
         self.confirmed.set({}, wall)
 
     def at(self, version: LogOffset, routes: int, ready: bool) -> None:
-        """Show how far this host is."""
+        """Set the gauges of the version, the routes and readiness."""
         self.version.set({}, version)
         self.routes.set({}, routes)
         self.ready.set({}, int(ready))
--- a/agatetack/config/document.py
+++ b/agatetack/config/document.py
@@ -1,4 +1,4 @@
-"""Define the operators' document: all routes, services and limits at once."""
+"""Define the operators' document, with all routes, services and limits."""
 
 import abc
 import dataclasses
@@ -8,20 +8,20 @@
 
 
 class BadDocument(Exception):
-    """Bytes are no document that can be used."""
+    """The bytes are not a valid document."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ServiceInfo:
-    """What the document says of a service.
+    """The document's entry for one service.
 
     Attributes:
         id: Its name.
-        load_path: What is asked for a target's load.
-        max_connections: Connections that one of its targets accepts from all
-            hosts together, or 0 if not said.
-        warm_up_rate: Requests a second that one of its targets takes from all
-            hosts together while it warms up, or 0 if not said.
+        load_path: Path at which a target reports its load.
+        max_connections: Maximum number of connections that one target accepts
+            from all hosts together, or 0 if not specified.
+        warm_up_rate: Requests per second that one target accepts from all
+            hosts together while it warms up, or 0 if not specified.
     """
 
     id: ServiceId
@@ -32,13 +32,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class CallerLimits:
-    """What callers may send and how long they may take.
+    """Limits on the requests and connections of callers.
 
     Attributes:
-        max_header_bytes: Longest header of a request.
-        max_body_bytes: Longest body.
-        header_timeout_seconds: Longest time to send a header.
-        idle_timeout_seconds: How long an idle connection is kept.
+        max_header_bytes: Maximum size of a request's header.
+        max_body_bytes: Maximum size of a request's body.
+        header_timeout_seconds: Maximum time to send a header.
+        idle_timeout_seconds: How long an idle connection is kept open.
     """
 
     max_header_bytes: int
@@ -52,10 +52,10 @@
     """One version of the operators' document.
 
     Attributes:
-        version: A later document has a higher one.
+        version: Increases with each new document.
         routes: All routes.
         services: All services.
-        limits: What callers may do, or None if the settings say that.
+        limits: Limits on callers, or None to use those of the settings.
     """
 
     version: int
@@ -65,12 +65,12 @@
 
 
 class DocumentDecoder(abc.ABC):
-    """A way to read documents."""
+    """Decoder for documents in one format."""
 
     @abc.abstractmethod
     def decode(self, content: bytes) -> RouteDocument:
         """Return the document in `content`.
 
         Raises:
-            BadDocument: It holds none.
+            BadDocument: `content` is not a valid document.
         """
--- a/agatetack/config/document_routes.py
+++ b/agatetack/config/document_routes.py
@@ -1,4 +1,4 @@
-"""Put the operators' document in force, never an older one."""
+"""Put the newest operators' document in force and ignore older ones."""
 
 import math
 from collections.abc import Callable, Sequence
@@ -18,13 +18,16 @@
 from agatetack.metrics import Metrics
 
 NO_DOCUMENT = -1
-"""The version before any document is known."""
+"""The version before the first document."""
 
 log = DecisionLog("config")
 
 
 class WholePrefixTable(RouteTable):
-    """Routes whose prefix must begin the path, its last slash included."""
+    """Routes whose whole prefix, with a trailing slash, must begin the path.
+
+    So `/a/` does not match the path `/a`.
+    """
 
     def match(self, host: str, path: str) -> Route | None:
         """Return the route with the longest prefix of `path`, or None.
@@ -47,15 +50,15 @@
 
 
 class DocumentRoutes(TopicReader):
-    """Takes documents and keeps the newest one in force.
+    """Reads documents and keeps the newest one in force.
 
     Attributes:
         version: The version in force, or `NO_DOCUMENT`.
-        offset: Where its record stands in the topic.
+        offset: The offset of its record in the topic.
         services: The services of the document in force.
-        limits: What callers may do by it, or None.
-        load_paths: What is asked for load, by service; kept the same object.
-        watchers: Called after a document came into force.
+        limits: The limits on callers in that document, or None.
+        load_paths: Load path by service; one dict, updated in place.
+        watchers: Called after each new document is in force.
     """
 
     def __init__(
@@ -65,7 +68,7 @@
         source: RouteSource,
         metrics: Metrics,
     ):
-        """Read the record `key` with `decoder`; swap the table in `source`."""
+        """Decode the record `key` and replace the table in `source`."""
         self.key = key
         self.decoder = decoder
         self.source = source
@@ -85,20 +88,25 @@
         )
 
     def take_all(self, records: Sequence[KeyedRecord]) -> None:
-        """Take the newest record of every key."""
+        """Read the newest record of every key."""
         self.take_new(records)
 
     def take_new(self, records: Sequence[KeyedRecord]) -> None:
-        """Take records that follow those taken before."""
+        """Read records that follow those read before."""
         for record in records:
-            # The last document stays in force while its record is gone.
+            # Without a value the record is deleted; the last document stays
+            # in force.
             if record.key == self.key and record.value is not None:
                 self._take(record.value, record.offset)
 
     def holds_until(
         self, known: KeyedRecord, found: KeyedRecord | None
     ) -> Deadline | None:
-        """Return until when a lost document holds: until a later one comes."""
+        """Return until when a lost document stays in force.
+
+        It has no time limit; a newer document replaces it. The result is None
+        if `found` is at least as new, or for other keys.
+        """
         if known.key != self.key:
             return None
         if self._version(known) <= self._version(found):
@@ -106,7 +114,7 @@
         return Deadline(math.inf)
 
     def _version(self, record: KeyedRecord | None) -> int:
-        """Return the version of the document in `record`, if it holds one."""
+        """Return the version of the document in `record`, or `NO_DOCUMENT`."""
         if record is None or record.value is None:
             return NO_DOCUMENT
         try:
--- a/agatetack/config/fold.py
+++ b/agatetack/config/fold.py
@@ -1,12 +1,13 @@
 """Fold the records of the configuration stream into the routes in force.
 
-The fold depends on the records and their offsets alone, on no setting, clock
-or host, so every host that has folded the same records holds the same state.
-
-A record names the last offset that its writer had read. One that lands more
-than `REMEMBERED_RECORDS` after it is stale and ignored. So it is enough to
-remember the changes decided in the last `REMEMBERED_RECORDS` records: a second
-copy of an older one is always stale, however late it lands.
+The fold depends only on the records and their offsets, not on settings, clocks
+or the host. So all hosts that have folded the same records have the same state.
+
+Each record contains the last offset that its writer had read. A record that is
+appended more than `REMEMBERED_RECORDS` after that offset is stale and ignored.
+It is therefore enough to remember the changes decided in the last
+`REMEMBERED_RECORDS` records: a second copy of an older change is always stale,
+no matter how late it is appended.
 """
 
 import dataclasses
@@ -31,18 +32,18 @@
 from agatetack.ids import ChangeId, LogOffset, RouteId, WallTime
 
 REMEMBERED_RECORDS = 4096
-"""Records for which decided changes and deleted routes are remembered.
+"""Number of records for which decided changes and deleted routes are kept.
 
-It is part of the record format: hosts with another figure would fold the same
-records differently. At 23,000 changes a day it is about four hours.
+It is part of the record format: hosts with different values would fold the same
+records differently. At 23,000 changes a day it covers about four hours.
 """
 
 MAX_AUTHOR_LENGTH = 200
-"""Longest name of an author, in characters."""
+"""Maximum length of an author's name, in characters."""
 
 
 class Verdict(enum.Enum):
-    """What the fold made of one record."""
+    """The result of folding one record."""
 
     ACCEPTED = "accepted"
     CONFLICT = "conflict"
@@ -62,7 +63,7 @@
         route: The route, or None if the record deleted it.
         author: Who wrote it.
         written_at: When it was written.
-        record: The record as the log holds it, for snapshots.
+        record: The encoded record, copied into snapshots.
     """
 
     version: LogOffset
@@ -75,7 +76,7 @@
     def of(
         cls, change: RouteChange, offset: LogOffset, record: bytes
     ) -> "Slot":
-        """Return the slot that the accepted `change` leaves."""
+        """Return the slot for an accepted change."""
         return cls(
             offset, change.route, change.author, change.written_at, record
         )
@@ -86,10 +87,10 @@
     """How the first record of a change was decided.
 
     Attributes:
-        offset: Where that record stands.
+        offset: The offset of that record.
         verdict: ACCEPTED, CONFLICT, PATH_TAKEN or INVALID.
-        winner: The version that stood in the way, or NO_VERSION.
-        digest: Checksum of what the change asked for.
+        winner: The version that the change conflicts with, or NO_VERSION.
+        digest: Checksum of the change, to detect that its id is reused.
     """
 
     offset: LogOffset
@@ -100,10 +101,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Step:
-    """What one record did.
+    """The effect of one record on the fold.
 
     Attributes:
-        verdict: What the fold made of it.
+        verdict: The result of folding it.
         change: The change in it, or None if it is malformed.
     """
 
@@ -112,19 +113,19 @@
 
 
 class OutOfOrder(Exception):
-    """A record is not the next one; folding it would skip or repeat some."""
+    """The record is not the next one; folding it would skip or repeat some."""
 
 
 class Fold:
-    """The state after all records up to `version`.
+    """The state after folding all records up to `version`.
 
     Attributes:
         version: Offset of the last record folded, or NO_VERSION.
-        chain: Checksum of all records folded, to compare hosts.
+        chain: Checksum of all folded records, to compare hosts.
         slots: The newest accepted record of each route.
-        decisions: Remembered changes, oldest first.
-        matches: The live route of each host and path prefix.
-        deleted: Routes that are deleted and remembered, oldest first.
+        decisions: Decisions on remembered changes, oldest first.
+        matches: The route in force for each host and path prefix.
+        deleted: Deleted routes that are still remembered, oldest first.
     """
 
     def __init__(self) -> None:
@@ -141,7 +142,7 @@
         return [slot.route for slot in self.slots.values() if slot.route]
 
     def version_of(self, route_id: RouteId) -> LogOffset:
-        """Return the version that a change must expect of a route."""
+        """Return a route's version, or NO_VERSION if it does not exist."""
         slot = self.slots.get(route_id)
         if slot is None or slot.route is None:
             return NO_VERSION
@@ -241,7 +242,7 @@
 
 
 def check_change(change: RouteChange) -> tuple[str, ...]:
-    """Return what is wrong with a change, whatever the routes in force.
+    """Return the errors in a change that do not depend on other routes.
 
     The same checks run before the append and in every host's fold.
     """
@@ -256,7 +257,7 @@
         findings.append("expected_version: must be -1 or more")
     if change.route is None:
         if change.expected_version == NO_VERSION:
-            findings.append("expected_version: a route to delete has one")
+            findings.append("expected_version: is required to delete a route")
     elif change.route.id != change.route_id:
         findings.append("route: its id differs from route_id")
     else:
--- a/agatetack/config/records.py
+++ b/agatetack/config/records.py
@@ -1,4 +1,4 @@
-"""Encode changes as records of the configuration stream, and back."""
+"""Encode and decode records of the configuration stream."""
 
 import dataclasses
 from collections.abc import Sequence
@@ -29,12 +29,12 @@
 SNAPSHOT_STREAM = StreamId("config-snapshots")
 
 RECORD_FORMAT = 1
-"""The format that this release writes; it reads no other."""
+"""The record format that this release writes, and the only one it reads."""
 
 MAX_FIELD_BYTES = 64 * 2**20
 MAX_LIST_LENGTH = 1_000_000
 CHECKSUM_MASK = 2**63 - 1
-"""Checksums lose their highest bit, as thrift's integers have a sign."""
+"""Clears the highest bit of a checksum, as Thrift integers are signed."""
 
 PROTOCOL = TCompactProtocolAcceleratedFactory(
     string_length_limit=MAX_FIELD_BYTES, container_length_limit=MAX_LIST_LENGTH
@@ -42,16 +42,16 @@
 
 
 class BadRecord(Exception):
-    """Bytes are not what their place calls for."""
+    """The bytes are not a valid record of the expected type."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class WrittenChange:
-    """A change as a record holds it.
+    """The contents of a change record.
 
     Attributes:
-        change: What the operator wants.
-        base: The last offset that its writer had read when it wrote this.
+        change: The requested change.
+        base: The last offset that the writer had read when it wrote the record.
     """
 
     change: RouteChange
@@ -67,36 +67,36 @@
 
 
 def extend_chain(chain: int, payload: bytes) -> int:
-    """Return the checksum of all records, with `payload` added as the last."""
+    """Extend the checksum of all earlier records by the record `payload`."""
     return checksum(chain.to_bytes(8, "big"), payload)
 
 
 def encode(struct: object) -> bytes:
-    """Return a thrift struct as bytes."""
+    """Serialize a Thrift struct."""
     return serialize(struct, PROTOCOL)
 
 
 def decode(struct: Struct, payload: bytes) -> Struct:
-    """Fill a thrift struct from bytes.
+    """Deserialize bytes into a Thrift struct and validate it.
 
     Raises:
-        BadRecord: The bytes do not hold such a struct.
+        BadRecord: The bytes are not a valid struct of this type.
     """
     try:
         deserialize(struct, payload, PROTOCOL)
         struct.validate()
-    # Thrift has no common error: by the place of the fault it may raise any
-    # of EOFError, TypeError, ValueError and its own.
+    # Thrift has no common base exception: depending on where the data is
+    # malformed, it raises EOFError, TypeError, ValueError or its own errors.
     except Exception as error:
         raise BadRecord(f"not a {type(struct).__name__}: {error}") from error
     return struct
 
 
 def encode_change(change: RouteChange, base: LogOffset) -> bytes:
-    """Return the record of a change.
+    """Encode a change as a record.
 
     Args:
-        change: What the operator wants.
+        change: The requested change.
         base: The last offset that this host has read.
     """
     return encode(
@@ -114,18 +114,18 @@
 
 
 def decode_change(payload: bytes, offset: LogOffset) -> WrittenChange:
-    """Return the change in a record.
+    """Decode the change in a record.
 
     Args:
-        payload: The record.
-        offset: Where it stands; the version of the route in it.
+        payload: The encoded record.
+        offset: The offset of the record, which becomes the route's version.
 
     Raises:
-        BadRecord: The record holds no change of this format.
+        BadRecord: The record is not a change in the supported format.
     """
     record = decode(wire.ChangeRecord(), payload)
     if record.format != RECORD_FORMAT:
-        raise BadRecord(f"format {record.format} is not known")
+        raise BadRecord(f"format {record.format} is not supported")
     route = route_from_wire(record.route, offset) if record.route else None
     change = RouteChange(
         change_id=ChangeId(record.change_id),
@@ -139,7 +139,7 @@
 
 
 def change_digest(change: RouteChange) -> int:
-    """Return a checksum of what `change` asks for, without who and when."""
+    """Return a checksum of a change that ignores its author and time."""
     asked = dataclasses.replace(change, author="", written_at=WallTime(0.0))
     if asked.route is not None:
         route = dataclasses.replace(asked.route, version=LogOffset(-1))
@@ -148,7 +148,10 @@
 
 
 def route_to_wire(route: Route) -> common.Route:
-    """Return a route for the log; its version is its record's offset."""
+    """Convert a route for the log, without its version.
+
+    The version of a route is the offset of its record.
+    """
     return common.Route(
         id=route.id,
         team=route.team,
@@ -167,9 +170,10 @@
 
 
 def _added_fields(route: Route) -> dict[str, object]:
-    """Return the fields that older releases do not know, where they are set.
+    """Return the set fields of a route that older releases do not know.
 
-    A record without them is the same, byte for byte, in every release.
+    Unset ones are left out, so that every release encodes a record without
+    them as the same bytes.
     """
     split = [
         common.SplitPart(part.service, float(part.weight))
@@ -187,10 +191,10 @@
 
 
 def route_from_wire(record: common.Route, version: LogOffset) -> Route:
-    """Return the route in a record.
+    """Convert a route from the log.
 
     Raises:
-        BadRecord: Its class is not known.
+        BadRecord: Its request class is unknown.
     """
     name = common.RequestClass._VALUES_TO_NAMES.get(record.request_class)
     if name is None:
@@ -236,10 +240,10 @@
 
 
 def wall_to_ms(wall: WallTime) -> int:
-    """Return whole milliseconds since 1970."""
+    """Convert a wall time to whole milliseconds since 1970."""
     return int(wall * 1000)
 
 
 def ms_to_wall(milliseconds: int) -> WallTime:
-    """Return seconds since 1970."""
+    """Convert milliseconds since 1970 to a wall time."""
     return WallTime(milliseconds / 1000)
--- a/agatetack/config/route.py
+++ b/agatetack/config/route.py
@@ -1,4 +1,4 @@
-"""Define a route: which requests it takes and how they may be treated."""
+"""Define a route: which requests it matches and how they may be handled."""
 
 import dataclasses
 import enum
@@ -8,7 +8,7 @@
 
 
 class RequestClass(enum.Enum):
-    """How a route's requests may be treated."""
+    """How the requests of a route may be handled."""
 
     FAST = "fast"
     ONCE = "once"
@@ -21,8 +21,8 @@
     """One service that gets a share of a route's requests.
 
     Attributes:
-        service: Whose targets run them.
-        weight: Its share, as a part of the sum of all weights.
+        service: The service whose targets run them.
+        weight: Its share, relative to the sum of all weights.
     """
 
     service: ServiceId
@@ -36,23 +36,25 @@
     Attributes:
         id: Chosen by the operator.
         team: The team that owns it.
-        service: Whose targets run the requests.
-        request_class: How the requests may be treated.
-        path_prefix: Paths that it takes; `/` takes all.
-        host: Host header that it takes, in lower case, or "" for any.
-        deadline_seconds: Time given to a request that brings no deadline.
-        max_body_bytes: Largest request body.
-        requests_per_second: Limit of the whole fleet, or 0 for none.
-        max_queue: Requests waiting in one process, or 0 for the setting.
-        version: The log offset of its record; no host ever takes a lower.
-        timeout_seconds: Longest time to keep a caller waiting, or 0 for none
-            but the deadline.
-        max_attempts: Targets that one request may be sent to, or 0 for the
-            setting.
-        target_latency_seconds: Time within which answers are wanted, or 0.
-        priority: Its rank among the routes of a service; 0 goes first.
-        split: The services that share its requests; empty for `service`.
-        regions: Where its requests may be run; empty for anywhere.
+        service: The service whose targets run the requests.
+        request_class: How the requests may be handled.
+        path_prefix: Prefix of the paths that it matches; `/` matches all.
+        host: Host header that it matches, in lower case, or "" for any.
+        deadline_seconds: Deadline of requests that do not specify one.
+        max_body_bytes: Maximum size of a request body.
+        requests_per_second: Rate limit for the whole fleet, or 0 for none.
+        max_queue: Maximum number of requests waiting in one process, or 0 to
+            use the setting.
+        version: The log offset of its record; it never decreases on a host.
+        timeout_seconds: Maximum time that a caller waits, or 0 to apply only
+            the deadline.
+        max_attempts: Maximum number of targets that one request is sent to,
+            or 0 to use the setting.
+        target_latency_seconds: Desired maximum latency of answers, or 0.
+        priority: Its rank among the routes of a service; 0 is the highest.
+        split: The services that share its requests, or empty if all of them
+            go to `service`.
+        regions: Regions in which its requests may run; empty for all.
     """
 
     id: RouteId
@@ -75,14 +77,15 @@
 
 
 class RouteTable:
-    """The routes in force, arranged for matching.
+    """The routes in force, indexed for matching.
 
-    The longest path prefix wins; among equals a route that names the host
-    goes before one that takes any. A prefix takes whole path segments.
+    The longest path prefix wins. Among routes with the same prefix, one for a
+    specific host takes precedence over one for any host. A prefix matches
+    whole path segments only.
     """
 
     def __init__(self, routes: Sequence[Route] = ()):
-        """Arrange `routes`."""
+        """Index `routes`."""
         self.routes = {route.id: route for route in routes}
         self.by_prefix: dict[str, list[Route]] = {}
         for route in routes:
@@ -92,10 +95,10 @@
             self._set_group(prefix, group)
 
     def replaced(self, route_id: RouteId, route: Route | None) -> "RouteTable":
-        """Return a table with one route put in or, with None, taken out.
+        """Return a copy with one route added, replaced or, with None, removed.
 
-        Whoever still holds this table keeps it unchanged. All groups but the
-        ones touched are shared, so the cost is that of two flat copies.
+        This table stays unchanged for code that still uses it. The copy shares
+        all groups except the changed ones, so it costs two shallow dict copies.
         """
         table = RouteTable()
         table.routes = dict(self.routes)
@@ -137,7 +140,7 @@
 
 
 class RouteSource:
-    """Hold the table in force; swapped whole when configuration changes.
+    """Holds the table in force, which each change replaces as a whole.
 
     Attributes:
         table: The routes in force, or None before any are known.
--- a/agatetack/config/route_file.py
+++ b/agatetack/config/route_file.py
@@ -1,4 +1,4 @@
-"""Load a YAML file that lists routes, with all findings at once."""
+"""Load routes from a YAML file and report all findings at once."""
 
 import dataclasses
 import pathlib
@@ -18,7 +18,7 @@
 from agatetack.settings.yaml_file import YamlFile, parse_yaml, read_yaml
 
 KNOWN_FIELDS = tuple(field.value for field in RouteField)
-"""What a route file may say of a route; only the log gives a version."""
+"""Fields that a route file may set; a route's version comes from the log."""
 
 REQUIRED_FIELDS = tuple(
     field.name
@@ -37,7 +37,7 @@
 def load_routes_text(
     text: str, name: str
 ) -> Result[tuple[Route, ...], tuple[Finding, ...]]:
-    """Return the routes that `text` lists, with `name` as its file."""
+    """Return the routes that `text` lists; findings use `name` as its file."""
     return _check_file(parse_yaml(text, name))
 
 
@@ -60,7 +60,7 @@
 
 
 def _read_split(value: object) -> object:
-    """Return the parts of a split, or what stands there if it is none."""
+    """Return the parts of a split, or `value` itself if it is malformed."""
     if not isinstance(value, list):
         return value
     parts = []
@@ -72,12 +72,12 @@
 
 
 class _RouteReader:
-    """Turns the file's entries into routes.
+    """Converts the entries of a file to routes.
 
     Attributes:
-        routes: The routes so far, also those with findings.
-        indexes: Where in the file each route stands.
-        matches: Which route takes which requests, as far as read.
+        routes: The routes read so far, including those with findings.
+        indexes: The index of each route's entry in the file.
+        matches: The first route read for each host and path prefix.
     """
 
     def __init__(self, file: YamlFile):
@@ -87,7 +87,7 @@
         self.matches: dict[RouteMatch, RouteId] = {}
 
     def read(self, index: int, entry: object) -> None:
-        """Read one entry; whatever is wrong with it becomes findings."""
+        """Read one entry and add a finding for each error in it."""
         if (index,) in self.file.unread:
             return
         if not isinstance(entry, dict):
--- a/agatetack/config/route_rules.py
+++ b/agatetack/config/route_rules.py
@@ -1,11 +1,11 @@
-"""State which routes are valid, the same way on every host.
-
-These rules run before a route is appended to the log and again in every
-host's fold, so they depend on the route alone: on no setting, clock or other
-state. A fleet runs several versions at once during an update, and two hosts
-that judge one record differently would hold different routes. So a rule that
-was released once is never changed; a stricter one for new routes belongs in
-front of the append only.
+"""Define which routes are valid, with the same result on every host.
+
+These rules are checked before a route is appended to the log and again in
+every host's fold, so they depend only on the route, not on settings, clocks or
+other state. A fleet runs several releases at once during an update, and two
+hosts that decide differently on one record would have different routes. So a
+released rule must never change; a stricter rule for new routes may only be
+checked before the append.
 """
 
 import dataclasses
@@ -18,13 +18,13 @@
 from agatetack.ids import Region, RouteId
 
 MAX_NAME_LENGTH = 100
-"""Longest id, team or service, in characters."""
+"""Maximum length of an id, team or service, in characters."""
 
 MAX_HOST_LENGTH = 253
-"""Longest host name that DNS allows, in characters."""
+"""Maximum length of a host name in DNS, in characters."""
 
 MAX_PREFIX_LENGTH = 512
-"""Longest path prefix, in characters."""
+"""Maximum length of a path prefix, in characters."""
 
 MIN_DEADLINE_SECONDS = 0.001
 MAX_DEADLINE_SECONDS = 30 * 86_400.0
@@ -39,7 +39,7 @@
 
 NAME = re.compile(r"[A-Za-z0-9][A-Za-z0-9._-]*")
 HOST = re.compile(r"[a-z0-9_]([a-z0-9_.-]*[a-z0-9_])?|\[[0-9a-f:.]+\]")
-# Characters that RFC 3986 allows in a path; `%` stands before two digits.
+# The characters that RFC 3986 allows in a path; two hex digits follow `%`.
 PREFIX = re.compile(r"/([A-Za-z0-9._~!$&'()*+,;=:@/-]|%[0-9A-Fa-f]{2})*")
 
 
@@ -66,11 +66,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RouteFinding:
-    """One rule that a route breaks.
+    """A rule that a route violates.
 
     Attributes:
-        field: The field at fault.
-        message: What is wrong, for a person.
+        field: The invalid field.
+        message: A description of the error, to show to an operator.
     """
 
     field: RouteField
@@ -82,19 +82,19 @@
 
 
 class RouteMatch(NamedTuple):
-    """What two routes may not share: the requests that they take."""
+    """The requests that a route matches; no two routes may have the same."""
 
     host: str
     prefix: str
 
 
 def route_match(route: Route) -> RouteMatch:
-    """Return what `route` matches; equal for two routes that clash."""
+    """Return what `route` matches, which is equal for conflicting routes."""
     return RouteMatch(route.host, route.path_prefix.rstrip("/"))
 
 
 def check_route(route: Route) -> tuple[RouteFinding, ...]:
-    """Return every rule that `route` breaks; none if it is valid."""
+    """Return every rule that `route` violates; none if it is valid."""
     return (
         *_check_names(route),
         *_check_class(route),
@@ -106,11 +106,11 @@
 def check_clash(
     route: Route, others: Iterable[Route]
 ) -> tuple[RouteFinding, ...]:
-    """Return a finding if another route takes the same requests.
+    """Return a finding if another route matches the same requests.
 
     Args:
         route: The route to accept.
-        others: The routes in force; one of the same id is passed over.
+        others: The routes in force; one with the same id is ignored.
     """
     clash = find_clash(route, others)
     if clash is None:
@@ -120,7 +120,7 @@
 
 
 def find_clash(route: Route, others: Iterable[Route]) -> RouteId | None:
-    """Return the least id of the other routes with the same match."""
+    """Return the first id, in sort order, of other routes with this match."""
     wanted = route_match(route)
     clashes = (
         other.id
@@ -261,7 +261,7 @@
 ) -> Iterable[RouteFinding]:
     if isinstance(value, bool) or not isinstance(value, int | float):
         yield RouteFinding(field, "must be a number")
-    # This refuses NaN too, as each comparison with it is false.
+    # This also rejects NaN, as every comparison with it is false.
     elif not least <= value <= most:
         yield RouteFinding(field, f"must be from {least:g} to {most:g}")
 
--- a/agatetack/config/serving.py
+++ b/agatetack/config/serving.py
@@ -1,4 +1,4 @@
-"""Give peers the records or the snapshot that they lack."""
+"""Serve the records or the snapshot that peers are missing."""
 
 import dataclasses
 
@@ -9,19 +9,19 @@
 from agatetack.ids import LogOffset
 
 MAX_BATCH_BYTES = 8 * 1024
-"""Most bytes of records in one reply; peers have a budget of bytes."""
+"""Maximum size of the records in one reply; peer traffic has a byte budget."""
 
 SNAPSHOT_PART_BYTES = 8 * 1024
-"""Most bytes of a snapshot in one reply to a peer."""
+"""Maximum size of a snapshot chunk in one reply to a peer."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ServedSnapshot:
-    """A snapshot in parts, kept while peers fetch it.
+    """A snapshot split into chunks, kept while peers fetch it.
 
     Attributes:
         version: The last offset folded into it.
-        chunks: Its parts.
+        chunks: Its chunks.
     """
 
     version: LogOffset
@@ -29,24 +29,27 @@
 
     @property
     def id(self) -> str:
-        """Return the id that its parts bear."""
+        """Return the snapshot id in its chunks."""
         return self.chunks[0].snapshot_id
 
 
 class RecordGiver:
-    """What one host can give to its peers.
+    """Serves one host's records and snapshots to its peers.
 
     Attributes:
-        served: The snapshot that peers fetch now, or None.
+        served: The snapshot served to peers now, or None.
     """
 
     def __init__(self, state: ConfigState):
-        """Give from `state`."""
+        """Serve from `state`."""
         self.state = state
         self.served: ServedSnapshot | None = None
 
     async def answer(self, request: wire.FetchRequest) -> wire.FetchReply:
-        """Return what follows the version that a peer names."""
+        """Return the records after the version of a peer, or a snapshot chunk.
+
+        A host that is not ready or not ahead of the peer returns neither.
+        """
         reply = wire.FetchReply(notice=self.notice())
         if request.version < self.state.fold.version and self.state.ready:
             reply.batch = self.batch_after(
@@ -57,18 +60,18 @@
         return reply
 
     def notice(self) -> wire.OffsetNotice:
-        """Return how far this host is."""
+        """Return the version and the checksum of this host's fold."""
         fold = self.state.fold
         return wire.OffsetNotice(version=fold.version, chain=fold.chain)
 
     def batch_after(
         self, version: LogOffset, max_bytes: int
     ) -> wire.RecordBatch | None:
-        """Return the kept records after `version`, or None if there is none.
+        """Return the kept records after `version`, or None if there are none.
 
         Args:
-            version: What the receiver is thought to hold.
-            max_bytes: Most bytes of records; one is always given.
+            version: The version that the receiver is assumed to have.
+            max_bytes: Maximum size of the records; one is always included.
         """
         payloads: list[bytes] = []
         size = 0
--- a/agatetack/config/sharing.py
+++ b/agatetack/config/sharing.py
@@ -1,8 +1,8 @@
-"""Exchange configuration records with the other hosts.
+"""Replicate configuration records between hosts.
 
-Peers pass on records as the log holds them, with their offsets. A host folds
-them only in order and only if their checksum continues its own, so the fold
-stays the same function of the same records wherever they came from.
+Peers forward records unchanged, with their offsets in the log. A host folds
+them only in order, and only if their chained checksum matches its own. So the
+result is the same whether records come from the log or from peers.
 """
 
 import random
@@ -22,26 +22,27 @@
 from agatetack.settings.model import Settings
 
 MAX_PUBLISH_BYTES = 4 * 1024
-"""Most bytes of records in one message to all peers."""
+"""Maximum size of the records in one message to all peers."""
 
 
 MAX_FETCH_CALLS = 2048
-"""Most calls to one peer in a row; a sound peer needs far fewer."""
+"""Maximum number of consecutive calls to one peer; a correct peer needs far
+fewer."""
 
 MIN_NOTICE_SECONDS = 0.2
-"""Shortest time between two notices to the peers."""
+"""Minimum interval between two notices to the peers."""
 
 GOSSIP_ROUNDS = 1.5
-"""Rounds of gossip in which every live peer should be heard."""
+"""Number of gossip rounds in which each live peer should report its version."""
 
 
 class PeerSharing:
     """One host's exchange of configuration with its peers.
 
     Attributes:
-        heard: The newest version that each peer has told.
-        heard_more: Set and replaced when a peer tells its version.
-        complete_at: When every live peer should have told its version.
+        heard: The last version that each peer has reported.
+        heard_more: Set and replaced when a peer reports its version.
+        complete_at: When every live peer should have reported its version.
     """
 
     def __init__(
@@ -51,7 +52,7 @@
         state: ConfigState,
         clock: Clock,
     ):
-        """Answer peers from now on; `announce` and `fetch` do the rest."""
+        """Start to serve peers; `announce` and `fetch` are separate tasks."""
         self.settings = settings.config
         self.exchange = exchange
         self.state = state
@@ -65,7 +66,7 @@
         exchange.serve(Topic.CONFIG_FETCH, self._answer_fetch)
 
     def publish_from(self, version: LogOffset) -> None:
-        """Send the record at `version` and all newer ones to every peer."""
+        """Send records from `version` on to every peer, up to a size limit."""
         batch = self.giver.batch_after(
             LogOffset(version - 1), MAX_PUBLISH_BYTES
         )
@@ -73,7 +74,7 @@
             self.exchange.publish(Topic.CONFIG_RECORDS, encode(batch))
 
     async def wait_acknowledged(self, version: LogOffset) -> None:
-        """Wait until one peer has `version`, or a stated time has passed."""
+        """Wait until a peer has `version`, at most `acknowledge_seconds`."""
         if not self.exchange.live_peers():
             return
         with trio.move_on_after(self.settings.acknowledge_seconds):
@@ -83,15 +84,16 @@
         self.state.counters.problem(Problem.NOT_ACKNOWLEDGED)
 
     async def announce(self) -> None:
-        """Tell peers how far this host is, for ever."""
+        """Announce this host's version to its peers, until cancelled."""
         while True:
             changed = self.state.changed
             if self.state.ready:
                 notice = encode(self.giver.notice())
                 self.exchange.publish(Topic.CONFIG_OFFSET, notice)
-            # In a burst of changes one notice stands for many.
+            # Combines the notices of a burst of changes into one.
             await trio.sleep(MIN_NOTICE_SECONDS)
-            # Hosts that started together should not all be quiet together.
+            # Jitter, so that hosts that started together do not all pause at
+            # the same time.
             wait = self.settings.gossip_seconds * random.uniform(0.5, 1)
             with trio.move_on_after(wait):
                 await changed.wait()
@@ -126,7 +128,7 @@
             self.state.take(batch, Source.PEER)
 
     def _continues(self, sender: HostId, record: wire.RecordBatch) -> bool:
-        """Return whether a batch holds what comes next after this fold."""
+        """Return whether a batch continues this host's fold and checksum."""
         batch = Batch(LogOffset(record.first), record.payloads)
         if batch.last <= self.state.fold.version:
             return False
@@ -139,7 +141,7 @@
         return True
 
     async def fetch(self) -> None:
-        """Fetch from peers what this host lacks, for ever."""
+        """Fetch missing records from peers, until cancelled."""
         while True:
             heard_more = self.heard_more
             if not self._ahead():
@@ -147,7 +149,7 @@
                 with trio.move_on_after(self.settings.gossip_seconds):
                     await heard_more.wait()
                 continue
-            # The log mostly brings the record in this time.
+            # In most cases the record arrives from the log in this time.
             await trio.sleep(
                 self.settings.fetch_delay_seconds * random.uniform(0, 2)
             )
@@ -168,8 +170,9 @@
         return [h for h, version in self.heard.items() if version == newest]
 
     def _end_bootstrap(self) -> None:
-        # With the log out, a host is ready once it holds what the newest of
-        # its peers holds; the first peer heard may be behind the others.
+        # While the log is unavailable, a host is ready once it has the newest
+        # version among its peers. It waits until all should have reported, as
+        # the first one to report may be behind the others.
         if (
             self.heard
             and self.complete_at is not None
@@ -189,7 +192,7 @@
         except PeerUnreachable as error:
             self.heard.pop(peer, None)
             self.state.problem(
-                Problem.PEER_UNREACHABLE, "could not fetch: %s.", error
+                Problem.PEER_UNREACHABLE, "fetch from a peer failed: %s.", error
             )
         except BadRecord as problem:
             self.heard.pop(peer, None)
@@ -198,8 +201,9 @@
     async def _ask(
         self, peer: HostId, request: wire.FetchRequest
     ) -> wire.FetchReply:
-        # A small gap is fetched from another peer if one does not answer. Many
-        # new hosts may wait in turn for parts of one peer's snapshot.
+        # The timeout for a small gap is short, as another peer can fill it.
+        # That for a snapshot is longer, as many new hosts may wait in turn for
+        # the chunks of one peer.
         timeout = self.settings.fetch_timeout_seconds
         if not self.state.ready or request.snapshot_id is not None:
             timeout = self.settings.transfer_timeout_seconds
@@ -222,7 +226,7 @@
         if self.state.fold.version >= reply.notice.version:
             return None
         if self.state.fold.version == before:
-            raise BadRecord("a reply brings nothing of what it announces")
+            raise BadRecord("a reply has no usable records though it is newer")
         return wire.FetchRequest(version=self.state.fold.version)
 
     async def _use_chunk(
@@ -251,12 +255,15 @@
 
     def _bad_message(self, sender: HostId, problem: BadRecord) -> None:
         self.state.problem(
-            Problem.BAD_PEER_MESSAGE, "%s sent bad bytes: %s.", sender, problem
+            Problem.BAD_PEER_MESSAGE,
+            "peer %s sent a malformed message: %s.",
+            sender,
+            problem,
         )
 
     def _chain_differs(self, sender: HostId) -> None:
         self.state.problem(
             Problem.CHAIN_MISMATCH,
-            "%s has folded other records than this host.",
+            "checksum mismatch: peer %s has folded other records.",
             sender,
         )
--- a/agatetack/config/snapshot.py
+++ b/agatetack/config/snapshot.py
@@ -1,4 +1,4 @@
-"""Write the whole state of the fold as a snapshot, and read it back."""
+"""Encode the complete state of a fold as a snapshot, and decode it."""
 
 import zlib
 
@@ -24,19 +24,19 @@
 VERDICTS = {value: verdict for verdict, value in WIRE_VERDICTS.items()}
 
 RESTORE_SLOTS = 20
-"""Routes restored before other tasks may run."""
+"""Number of routes restored before yielding to other tasks."""
 
 COMPRESS_BYTES = 64 * 1024
-"""Bytes compressed before other tasks may run."""
+"""Bytes compressed before yielding to other tasks."""
 
 MAX_SNAPSHOT_BYTES = 64 * 2**20
-"""Largest snapshot, before and after it is compressed."""
+"""Maximum size of a snapshot, before and after compression."""
 
 
 async def encode_snapshot(fold: Fold) -> bytes:
-    """Return the state that `fold` has now, compressed.
+    """Return the current state of `fold`, compressed.
 
-    It yields to other tasks often, as requests should not wait for it.
+    It yields to other tasks often, so that it does not delay requests.
     """
     content = pack_snapshot(fold)
     compressor = zlib.compressobj(level=1)
@@ -49,7 +49,7 @@
 
 
 def pack_snapshot(fold: Fold) -> bytes:
-    """Return the whole state of `fold`, not compressed yet."""
+    """Return the complete state of `fold`, uncompressed."""
     slots = sorted(fold.slots.values(), key=lambda slot: slot.version)
     decisions = fold.decisions.values()
     return encode(
@@ -69,14 +69,14 @@
 
 
 async def decode_snapshot(content: bytes) -> Fold:
-    """Return the fold in a compressed snapshot, yielding to others often.
+    """Decode a compressed snapshot, yielding to other tasks often.
 
     Raises:
-        BadRecord: It holds no snapshot of this format.
+        BadRecord: `content` is not a snapshot in the supported format.
     """
     record = decode(wire.Snapshot(), _decompress(content))
     if record.format != RECORD_FORMAT:
-        raise BadRecord(f"format {record.format} is not known")
+        raise BadRecord(f"format {record.format} is not supported")
     fold = Fold()
     fold.version = LogOffset(record.version)
     fold.chain = record.chain
@@ -84,7 +84,7 @@
         await _restore_slots(fold, record)
         _restore_decisions(fold, record)
     except (KeyError, ValueError) as error:
-        raise BadRecord(f"a snapshot does not fit together: {error}") from error
+        raise BadRecord(f"a snapshot is inconsistent: {error}") from error
     return fold
 
 
@@ -118,7 +118,7 @@
     try:
         plain = inflater.decompress(content, MAX_SNAPSHOT_BYTES)
     except zlib.error as error:
-        raise BadRecord(f"not compressed: {error}") from error
+        raise BadRecord(f"cannot decompress a snapshot: {error}") from error
     if not inflater.eof:
-        raise BadRecord("a snapshot is cut or too large")
+        raise BadRecord("a snapshot is truncated or too large")
     return plain
--- a/agatetack/config/snapshot_stream.py
+++ b/agatetack/config/snapshot_stream.py
@@ -1,4 +1,4 @@
-"""Read the stream of snapshots in the platform's log."""
+"""Read the snapshot stream of the platform's log."""
 
 from agatetack.clock import Clock
 from agatetack.config.chunks import SnapshotReader, read_chunks
@@ -14,19 +14,21 @@
 )
 
 READ_RECORDS = 16
-"""Chunks asked for in one read; each may be as large as the log allows."""
+"""Maximum number of chunks in one read; each may have the maximum record
+size."""
 
 
 async def read_snapshots(
     log: Log, start: LogOffset, clock: Clock, timeout_seconds: float
 ) -> LogPage:
-    """Read one page of the snapshot stream, from the first record kept on.
+    """Read one page of the snapshot stream.
 
     Args:
         log: The platform's log.
-        start: The offset wanted; a later one if it is no longer kept.
-        clock: Tells the time.
-        timeout_seconds: Longest time for one read.
+        start: The first offset to read; if the log no longer keeps it, the
+            page begins at the first record that it still keeps.
+        clock: The clock for the deadline of a read.
+        timeout_seconds: Maximum time for one read.
 
     Raises:
         LogError: The log could not be read.
@@ -44,13 +46,13 @@
 async def read_newest(
     log: Log, state: ConfigState, clock: Clock, timeout_seconds: float
 ) -> Fold | None:
-    """Return the newest whole snapshot in the log, or None.
+    """Return the fold of the newest complete snapshot in the log, or None.
 
     Args:
         log: The platform's log.
         state: Where problems are counted.
-        clock: Tells the time.
-        timeout_seconds: Longest time for one read.
+        clock: The clock for the deadline of a read.
+        timeout_seconds: Maximum time for one read.
 
     Raises:
         LogError: The log could not be read.
@@ -61,7 +63,9 @@
         page = await read_snapshots(log, start, clock, timeout_seconds)
         payloads = [record.payload for record in page.records]
         for problem in read_chunks(reader, payloads):
-            state.problem(Problem.BAD_SNAPSHOT, "skipped a chunk: %s.", problem)
+            state.problem(
+                Problem.BAD_SNAPSHOT, "skipped a snapshot chunk: %s.", problem
+            )
         if not page.records or page.records[-1].offset + 1 >= page.end:
             return await _load(reader, state)
         start = LogOffset(page.records[-1].offset + 1)
@@ -71,5 +75,9 @@
     try:
         return await reader.load()
     except BadRecord as problem:
-        state.problem(Problem.BAD_SNAPSHOT, "cannot use it: %s.", problem)
+        state.problem(
+            Problem.BAD_SNAPSHOT,
+            "cannot load the newest snapshot: %s.",
+            problem,
+        )
         return None
--- a/agatetack/config/snapshot_writer.py
+++ b/agatetack/config/snapshot_writer.py
@@ -1,4 +1,4 @@
-"""Keep a young snapshot in the platform's log."""
+"""Write snapshots so that the platform's log always has a recent one."""
 
 import dataclasses
 import random
@@ -28,25 +28,26 @@
 from agatetack.settings.model import Settings
 
 APPEND_TRIES = 5
-"""Appends of one chunk before a snapshot is given up for now."""
+"""Maximum number of appends of one chunk before the snapshot is abandoned until
+the next check."""
 
 STAGGER_SHARE = 0.05
-"""The share of what is left of a snapshot's time that a host may wait before
-it writes a new one, so that hosts that start shortly before its end do not wait
-past it."""
+"""Maximum wait before a host writes a new snapshot, as a share of the time left
+until the log drops the current one. Without this limit, hosts that start
+shortly before that time would wait past it."""
 
 LEAST_STAGGER_SECONDS = 0.05
-"""What a host may wait in any case."""
+"""The limit on that wait is never below this, however little time is left."""
 
 
 @dataclasses.dataclass(slots=True)
 class SeenSnapshot:
-    """A whole snapshot in the log, known without its data.
+    """A complete snapshot in the log, without its data.
 
     Attributes:
         version: The last offset folded into it.
-        due_at: When it has to be written anew.
-        dropped_at: When the log drops it.
+        due_at: When a new snapshot has to replace it.
+        dropped_at: When its retention in the log ends.
     """
 
     version: LogOffset
@@ -55,15 +56,16 @@
 
 
 class SnapshotWriter:
-    """Keep a young whole snapshot in the log, together with all other hosts.
+    """Keeps a recent complete snapshot in the log, together with other hosts.
 
-    Whoever first finds one due writes it. Two that do so at once do no harm,
-    as each snapshot has its own id and stands for a state, not for a change.
+    The first host that finds a new snapshot due writes it. If two write at the
+    same time, this is harmless: each snapshot has its own id and contains a
+    state, not a change.
 
     Attributes:
-        newest: The newest whole snapshot seen, or None.
-        missing: For each incomplete snapshot the indexes not seen yet.
-        next_offset: Up to where the snapshot stream was read.
+        newest: The newest complete snapshot seen, or None.
+        missing: Indexes of the chunks not seen yet, by incomplete snapshot.
+        next_offset: The next offset of the snapshot stream to read.
     """
 
     def __init__(
@@ -81,14 +83,14 @@
 
     @property
     def max_age_seconds(self) -> float:
-        """Return the age at which a snapshot is written anew."""
+        """Return the age at which a new snapshot has to replace one."""
         return (
             self.log_settings.retention_seconds
             * self.settings.snapshot_age_ratio
         )
 
     async def run(self) -> None:
-        """Look for due snapshots for ever, and first once there is a state."""
+        """Write snapshots when due, once `state` is ready, until cancelled."""
         while not self.state.ready:
             await self.state.changed.wait()
         while True:
@@ -101,12 +103,14 @@
                     await self._write()
             except LogError as error:
                 self.state.problem(
-                    Problem.SNAPSHOT_FAILED, "no snapshot written: %s.", error
+                    Problem.SNAPSHOT_FAILED,
+                    "could not write a snapshot: %s.",
+                    error,
                 )
             await trio.sleep(self._stagger())
 
     def _stagger(self) -> float:
-        """Return how long to leave it to other hosts, in seconds."""
+        """Return a random wait in seconds, to let another host write first."""
         most = min(
             self.settings.snapshot_stagger_seconds, self.max_age_seconds / 4
         )
@@ -121,7 +125,7 @@
         if self.newest is None:
             return True
         if self.clock.now() >= self.newest.due_at:
-            # A host that is behind leaves it to the others.
+            # A host that is behind the snapshot lets the others write it.
             return self._records_behind() >= 0
         return self._records_behind() >= self.settings.snapshot_records
 
@@ -159,12 +163,12 @@
             return
         del self.missing[chunk.snapshot_id]
         if self.newest is None or chunk.version >= self.newest.version:
-            # Incomplete ones that are older will not be waited for.
+            # Older incomplete snapshots are no longer needed.
             self.missing.clear()
             self.newest = self._seen(chunk.version, record.appended_at)
 
     def _seen(self, version: int, appended_at: WallTime) -> SeenSnapshot:
-        # The wall clock is asked once; later jumps of it change nothing.
+        # Reads the wall clock only once, so its later jumps have no effect.
         age = max(self.clock.wall() - appended_at, 0.0)
         begun = self.clock.now() - min(age, self.log_settings.retention_seconds)
         return SeenSnapshot(
@@ -199,8 +203,8 @@
             except LogTooFast as too_fast:
                 await trio.sleep_until(too_fast.retry_at)
             except LogOutcomeUnknown:
-                # A second copy of a chunk does no harm.
+                # Appends it again, as a second copy of a chunk is harmless.
                 continue
             else:
                 return
-        raise LogError("a chunk could not be appended")
+        raise LogError("a snapshot chunk could not be appended")
--- a/agatetack/config/state.py
+++ b/agatetack/config/state.py
@@ -1,4 +1,4 @@
-"""Hold one host's configuration; every source of records goes through here."""
+"""Hold one host's configuration and apply records from all sources to it."""
 
 import collections
 import dataclasses
@@ -21,10 +21,10 @@
 from agatetack.logs import PartLog
 
 KEPT_BYTES = 512 * 1024
-"""Most bytes of records kept for peers that are behind."""
+"""Maximum total size of the records kept for peers that are behind."""
 
 TAKE_RECORDS = 8
-"""Records folded before other tasks may run."""
+"""Number of records folded before yielding to other tasks."""
 
 
 class Source(enum.Enum):
@@ -40,7 +40,7 @@
 
     Attributes:
         first: The offset of the first one.
-        payloads: The records as the log holds them.
+        payloads: The encoded records, unchanged from the log.
     """
 
     first: LogOffset
@@ -57,7 +57,7 @@
     """A folded record, kept for peers that are behind.
 
     Attributes:
-        payload: The record as the log holds it.
+        payload: The encoded record, unchanged from the log.
         chain: Checksum of all records up to this one.
     """
 
@@ -67,14 +67,15 @@
 
 @dataclasses.dataclass(eq=False, slots=True)
 class Waiter:
-    """Somebody who waits for a change to be decided.
+    """A task that waits for a change to be decided.
 
     Attributes:
-        base: What this host had read when the change was written.
+        base: The version of this host's fold when the change was written.
         settled: Set once one of the fields below is.
         decision: How the change was decided, or None.
-        stale: Whether it came too late to be decided.
-        lost_track: Whether this host skipped the records that say it.
+        stale: Whether the record was appended too late to be decided.
+        lost_track: Whether the decision is unknown, as a snapshot replaced
+            the records that may have contained it.
     """
 
     base: LogOffset
@@ -85,13 +86,13 @@
 
 
 class ConfigState:
-    """The fold of one host, the table in force and who waits for changes.
+    """One host's fold, its table in force and the waiters for changes.
 
     Attributes:
-        fold: What this host has folded.
-        ready: Whether the fold has reached the newest record known.
+        fold: The fold of the records read so far.
+        ready: Whether the fold has reached the newest known record.
         changed: Set and replaced whenever the fold or `ready` changes.
-        waiters: Who waits for which change.
+        waiters: The waiters by change.
         kept: The newest records, the last one at `fold.version`.
     """
 
@@ -118,8 +119,8 @@
     def take(self, batch: Batch, source: Source) -> list[Step]:
         """Fold those records of `batch` that come next.
 
-        Records that are folded already are passed over; after a gap nothing
-        is folded, so no source can bring back an older state.
+        Records that are already folded are skipped, and nothing is folded
+        after a gap, so no source can restore an older state.
         """
         skip = self.fold.version + 1 - batch.first
         if skip < 0 or skip >= len(batch.payloads):
@@ -133,18 +134,20 @@
         return steps
 
     async def take_slowly(self, batch: Batch, source: Source) -> None:
-        """Fold a batch in parts, as requests should not wait for a long one."""
+        """Fold a batch in parts, so that a long one does not delay requests."""
         for at in range(0, len(batch.payloads), TAKE_RECORDS):
             part = batch.payloads[at : at + TAKE_RECORDS]
             self.take(Batch(LogOffset(batch.first + at), part), source)
             await trio.lowlevel.checkpoint()
 
     def load(self, fold: Fold, source: Source) -> bool:
-        """Take a snapshot's fold if it is newer; return whether it is."""
+        """Load a snapshot's fold if it is newer; return whether it is."""
         if fold.version <= self.fold.version:
             return False
         self.log.info(
-            "took a snapshot of version %d from %s.", fold.version, source.value
+            "loaded a snapshot of version %d from %s.",
+            fold.version,
+            source.value,
         )
         self.counters.loaded(source.value)
         self.fold = fold
@@ -159,7 +162,7 @@
         return True
 
     def mark_ready(self) -> None:
-        """Put the fold's routes in force; they are the newest known."""
+        """Put the fold's routes in force, as they are the newest known."""
         if self.ready:
             return
         self.source.table = RouteTable(self.fold.routes())
@@ -168,12 +171,12 @@
         self._notify()
 
     def kept_after(self, version: LogOffset) -> list[KeptRecord]:
-        """Return the records kept that follow `version`, none after a gap."""
+        """Return the kept records after `version`; none if there is a gap."""
         skip = version + 1 - self.first_kept
         return [] if skip < 0 else list(self.kept)[skip:]
 
     def chain_after(self, batch: Batch) -> int | None:
-        """Return the checksum after `batch`, or None if it does not follow."""
+        """Return the checksum after `batch`, or None if there is a gap."""
         skip = self.fold.version + 1 - batch.first
         if skip < 0:
             return None
@@ -183,13 +186,13 @@
         return chain
 
     def add_waiter(self, change_id: ChangeId) -> Waiter:
-        """Return a new waiter for a change that is written now."""
+        """Add a waiter for a change that is about to be written."""
         waiter = Waiter(self.fold.version)
         self.waiters.setdefault(change_id, []).append(waiter)
         return waiter
 
     def remove_waiter(self, change_id: ChangeId, waiter: Waiter) -> None:
-        """Forget a waiter."""
+        """Remove a waiter."""
         waiters = self.waiters[change_id]
         waiters.remove(waiter)
         if not waiters:
@@ -199,7 +202,10 @@
         step = self.fold.apply(LogOffset(self.fold.version + 1), payload)
         self.counters.judged(step.verdict)
         if step.verdict in (Verdict.MALFORMED, Verdict.INVALID):
-            self.log.warning("record %d is bad; skipped.", self.fold.version)
+            self.log.warning(
+                "skipped record %d, which is malformed or invalid.",
+                self.fold.version,
+            )
         self.kept.append(KeptRecord(payload, self.fold.chain))
         self.kept_bytes += len(payload)
         while len(self.kept) > self.max_kept or self.kept_bytes > KEPT_BYTES:
@@ -234,8 +240,8 @@
 
     def _settle_after_jump(self, change_id: ChangeId, waiter: Waiter) -> None:
         waiter.decision = self.fold.decisions.get(change_id)
-        # The change may have been decided, and forgotten, in the records that
-        # the snapshot stands for.
+        # The change may have been decided in the records that the snapshot
+        # replaces, and the decision removed again by later ones of them.
         waiter.lost_track = (
             waiter.decision is None
             and self.fold.version - waiter.base > REMEMBERED_RECORDS
@@ -249,6 +255,6 @@
         self.changed = trio.Event()
 
     def problem(self, problem: Problem, text: str, *args: object) -> None:
-        """Count a problem and write it to the log."""
+        """Count a problem and log it as a warning."""
         self.counters.problem(problem)
         self.log.warning(text, *args)
--- a/agatetack/config/store.py
+++ b/agatetack/config/store.py
@@ -1,4 +1,4 @@
-"""Keep one host's configuration and accept changes of it."""
+"""Store one host's configuration and accept changes to it."""
 
 import trio
 from returns.result import Failure, Result, Success
@@ -33,7 +33,7 @@
 from agatetack.settings.model import Settings
 
 ChangeResult = Result[Accepted, Rejected | InDoubt]
-"""What `ConfigStore.apply` returns."""
+"""The result of `ConfigStore.apply`."""
 
 REASONS = {
     Verdict.CONFLICT: RejectReason.CONFLICT,
@@ -52,7 +52,7 @@
     """One host's configuration: follows the log and peers, accepts changes.
 
     Attributes:
-        state: The fold, the table in force and who waits for changes.
+        state: The fold, the table in force and the waiters for changes.
     """
 
     def __init__(
@@ -64,7 +64,7 @@
         metrics: Metrics,
         clock: Clock,
     ):
-        """Keep the routes in force in `source`; they are unknown at first."""
+        """Put the routes in force into `source`, which has none at first."""
         self.settings = settings
         self.log = log
         self.clock = clock
@@ -79,7 +79,10 @@
     async def run(
         self, task_status: trio.TaskStatus = trio.TASK_STATUS_IGNORED
     ) -> None:
-        """Follow the log and the peers for ever; one task each."""
+        """Follow the log, exchange records with peers and write snapshots.
+
+        Runs until cancelled.
+        """
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self.tail.run)
             nursery.start_soon(self.sharing.announce)
@@ -94,7 +97,7 @@
 
     @property
     def fold(self) -> Fold:
-        """Return what this host has folded; do not change it."""
+        """Return this host's fold, which must not be modified."""
         return self.state.fold
 
     def version(self) -> LogOffset:
@@ -117,19 +120,19 @@
     async def apply(
         self, change: RouteChange, deadline: Deadline
     ) -> ChangeResult:
-        """Append a change to the log and return what became of it.
+        """Append a change to the log and return its outcome.
 
-        It may be called again with the same change, here or on another host;
-        the change comes into force once at most.
+        It may be called again with the same change, on this or another host;
+        the change takes effect at most once.
 
         Args:
-            change: What the operator wants.
+            change: The requested change.
             deadline: When to stop waiting.
 
         Returns:
-            Accepted once the change is in force here and was read back from
-            the log, Rejected if it never will be, and InDoubt if that was
-            not known by `deadline`.
+            Accepted once the change was read back from the log and is in
+            force on this host, Rejected if it never will be in force, and
+            InDoubt if the outcome was not known by `deadline`.
         """
         known = self._known(change)
         if known is not None:
@@ -156,9 +159,10 @@
             return Rejected(
                 RejectReason.NOT_READY, "this host has no configuration yet"
             )
-        # A version that this host has read and that is not the route's any
-        # more will never be again, so the log need not be asked. NO_VERSION
-        # can come true again, when the route is deleted.
+        # A route never returns to an earlier version, so if this host has read
+        # the expected version and the route now has another one, the change
+        # is rejected without reading the log. NO_VERSION is not checked here,
+        # as it applies again once the route is deleted.
         expected = change.expected_version
         current = self.fold.version_of(change.route_id)
         if NO_VERSION < expected <= self.version() and expected != current:
@@ -175,15 +179,23 @@
             return known
         if waiter.stale:
             return Failure(
-                Rejected(RejectReason.STALE, "too many records came before it")
+                Rejected(
+                    RejectReason.STALE,
+                    "too many other records were appended before the change",
+                )
             )
         if writing.too_large:
             return Failure(
-                Rejected(RejectReason.INVALID, "the log takes no record so big")
+                Rejected(
+                    RejectReason.INVALID, "the record is too large for the log"
+                )
             )
         if not writing.may_have_landed:
             return Failure(
-                Rejected(RejectReason.LOG_UNAVAILABLE, "the log took no append")
+                Rejected(
+                    RejectReason.LOG_UNAVAILABLE,
+                    "the log did not accept the change",
+                )
             )
         return Failure(InDoubt("the change was not read back in time"))
 
--- a/agatetack/config/tail.py
+++ b/agatetack/config/tail.py
@@ -15,16 +15,18 @@
 from agatetack.settings.model import Settings
 
 MAX_TURN_SECONDS = 3.5
-"""Longest turn, the wait for a record included; the pause is random, up to a
-quarter longer. A host that hears of no peer still keeps within 5 s."""
+"""Maximum interval between reads, including the wait for a record. Jitter makes
+the pause up to a quarter longer. A host without messages from peers still gets
+each change within 5 s."""
 
 
 class LogTail:
     """One host's reader of the configuration stream.
 
     Attributes:
-        outage: Whether the last read failed; logged once, counted each time.
-        end: Where the log ended when it was last read.
+        outage: Whether the last read failed; an outage is logged once, but
+            each failure is counted.
+        end: The end of the log at the last read.
     """
 
     def __init__(
@@ -35,7 +37,7 @@
         state: ConfigState,
         clock: Clock,
     ):
-        """Read `log` into `state`; `exchange` tells the number of hosts."""
+        """Read `log` into `state`; `exchange` provides the number of hosts."""
         self.settings = settings.platform.log
         self.config = settings.config
         self.exchange = exchange
@@ -46,7 +48,7 @@
         self.end = LogOffset(0)
 
     async def run(self) -> None:
-        """Load the newest snapshot, then follow the stream for ever."""
+        """Load the newest snapshot, then follow the stream until cancelled."""
         await self._load_snapshot()
         while True:
             try:
@@ -57,7 +59,8 @@
             except LogTruncated as truncated:
                 self.state.problem(
                     Problem.LOG_TRUNCATED,
-                    "records before %d are gone; looking for a snapshot.",
+                    "the log no longer has records before offset %d;"
+                    " looking for a snapshot.",
                     truncated.first,
                 )
                 if not await self._load_snapshot():
@@ -70,21 +73,22 @@
                 await self._pause()
 
     def _wait_seconds(self) -> float:
-        # Until the end was seen, an empty answer is worth more than a record
-        # that comes later.
+        # Before this host is ready, a read has to return at once if there is
+        # no newer record, as this shows that the host has reached the end.
         return self.settings.poll_seconds if self.state.ready else 0.0
 
     async def read(self, wait_seconds: float) -> bool:
-        """Fold what the log holds beyond this host's version.
+        """Fold the records in the log after this host's version.
 
         Args:
             wait_seconds: How long to wait for a record if there is none.
 
         Returns:
-            Whether the log gave what it had; False if it is behind.
+            False if the log ends before this host's version, or returned no
+            record although it has newer ones; else True.
 
         Raises:
-            LogError: The log could not be read, or not from there.
+            LogError: The log could not be read from this version on.
         """
         until = Deadline(self.clock.now() + wait_seconds)
         start = LogOffset(self.state.fold.version + 1)
@@ -101,9 +105,11 @@
         if self.state.fold.version + 1 < page.end:
             return bool(page.records)
         if start > page.end:
-            # Somebody read these records from the log, so it has lost them.
+            # This host's records were read from the log, which has lost them.
             self.state.problem(
-                Problem.LOG_BEHIND, "the log ends at %d already.", page.end
+                Problem.LOG_BEHIND,
+                "the log ends at offset %d, before this host's version.",
+                page.end,
             )
             return False
         self.state.mark_ready()
@@ -111,7 +117,7 @@
         return True
 
     async def read_to_end(self) -> None:
-        """Fold all that the log holds now.
+        """Fold all records that are in the log now.
 
         Raises:
             LogError: The log could not be read.
@@ -150,13 +156,13 @@
         self.outage = False
 
     async def _leave_reads_to_others(self) -> None:
-        # In a large fleet the hosts read in turns, and peers bring what
-        # another one has read.
+        # In a large fleet each host reads less often; between its reads it
+        # receives the records that its peers have read.
         turn = self.exchange.fleet_size() / self.config.log_reads_per_second
         pause = min(turn, MAX_TURN_SECONDS) - self.settings.poll_seconds
         if pause > 0:
             await trio.sleep(pause * random.uniform(0.75, 1.25))
 
     async def _pause(self) -> None:
-        # Hosts that failed together should not all ask again together.
+        # Jitter, so that hosts that failed together do not retry together.
         await trio.sleep(self.settings.retry_seconds * random.uniform(0.3, 1))
--- a/agatetack/config/test_document_routes.py
+++ b/agatetack/config/test_document_routes.py
@@ -1,4 +1,4 @@
-"""Test which document is in force, and which route takes a request."""
+"""Test which document is in force, and which route matches a request."""
 
 import pytest
 
@@ -28,7 +28,7 @@
         ([], -1),
         ([record(3)], 3),
         ([record(3), record(7)], 7),
-        # An older one that is read again does not come back.
+        # An older document that is read again is ignored.
         ([record(7), record(3)], 7),
         ([record(7), record(7)], 7),
         ([record(3), KeyedRecord("config", b"junk", LogOffset(1))], 3),
--- a/agatetack/config/test_examples.py
+++ b/agatetack/config/test_examples.py
@@ -1,4 +1,4 @@
-"""Test that the example files of both firms can be used as they are."""
+"""Test that the example files of both firms are valid without changes."""
 
 import pathlib
 
--- a/agatetack/config/test_fold.py
+++ b/agatetack/config/test_fold.py
@@ -120,7 +120,7 @@
 
 
 async def copy_by_chunks(fold: Fold, order) -> Fold:
-    """Send a fold through a snapshot whose chunks come in any order."""
+    """Copy a fold through a snapshot whose chunks arrive in any order."""
     content = await encode_snapshot(fold)
     chunks = split_snapshot(content, fold.version, CHUNK_BYTES)
     reader = SnapshotReader()
@@ -144,17 +144,17 @@
 
 @dataclasses.dataclass
 class Written:
-    """A record that a writer holds; copies of it may land at any time."""
+    """A written record; copies of it may be appended at any time."""
 
     payload: bytes
     accepted: int = 0
 
 
 class ConfigHosts(RuleBasedStateMachine):
-    """Hosts that read one log in turns, from the log, peers or snapshots.
+    """Hosts that get the records of one log, from it, peers or snapshots.
 
-    The log is only ever appended to; a host that restarts begins anew with
-    nothing or with any host's snapshot.
+    Records are only ever appended to the log. A host that restarts begins
+    with no state, or with any host's snapshot.
     """
 
     def __init__(self):
@@ -180,7 +180,7 @@
         expected=strategies.sampled_from(["seen", "seen", "none", "old"]),
     )
     def write(self, route, path, host, expected):
-        """Let a writer make a record from what its host has folded."""
+        """Write a record based on what one host has folded."""
         fold = self.hosts[host].fold
         version = fold.version_of(route)
         if expected != "seen":
@@ -194,7 +194,7 @@
         path=strategies.sampled_from(["own", "own", None]),
     )
     def change(self, route, path):
-        """Let a writer that has read everything change a route at once."""
+        """Append a change by a writer that has read all records."""
         expected = self.judge.version_of(route)
         path = f"/{route}{len(self.log)}" if path else None
         change = make_change(f"c{len(self.written)}", route, expected, path)
@@ -205,7 +205,7 @@
     @precondition(lambda self: self.written)
     @rule(pick=strategies.integers(0, 10**6), newest=strategies.booleans())
     def land(self, pick, newest):
-        """Let a copy of a record land, maybe long after it was written."""
+        """Append a copy of a record, possibly long after it was written."""
         index = -1 if newest else pick % len(self.written)
         written = self.written[index]
         verdict = self.append(written.payload)
@@ -213,11 +213,11 @@
 
     @rule(payload=strategies.binary(max_size=8))
     def land_garbage(self, payload):
-        """Let something land that is no change."""
+        """Append bytes that are not a change."""
         assert self.append(payload) is Verdict.MALFORMED
 
     def append(self, payload: bytes) -> Verdict:
-        """Append to the log and keep the state that follows from it."""
+        """Append to the log and store the expected state after it."""
         before = {r.id: r.version for r in self.judge.routes()}
         step = self.judge.apply(len(self.log), payload)
         self.log.append(payload)
@@ -233,13 +233,13 @@
         count=strategies.integers(0, 8),
     )
     def read(self, host, first, count):
-        """Let a host take any records from the log or a peer."""
+        """Let a host read any range of records, as from the log or a peer."""
         batch = Batch(first, self.log[first : first + count])
         self.hosts[host].take(batch, Source.PEER)
 
     @rule(host=strategies.integers(0, 2), count=strategies.integers(1, 9))
     def read_next(self, host, count):
-        """Let a host read on, with a few records that it has already."""
+        """Let a host read the next records and a few that it already has."""
         first = max(0, self.hosts[host].fold.version - 1)
         self.read(host, first, count)
 
@@ -249,7 +249,7 @@
         reverse=strategies.booleans(),
     )
     def send_snapshot(self, giver, taker, reverse):
-        """Let a host take another one's snapshot, whichever is ahead."""
+        """Let a host load another host's snapshot, whichever is newer."""
         fold = self.hosts[giver].fold
         if fold.version == NO_VERSION:
             return
@@ -260,13 +260,13 @@
 
     @rule(host=strategies.integers(0, 2))
     def restart(self, host):
-        """Let a host lose all it has."""
+        """Let a host lose its state."""
         self.hosts[host] = new_state()
         self.seen[host] = NO_VERSION
 
     @invariant()
     def states_follow_from_the_log(self):
-        """Check every host against the one fold of what it has read."""
+        """Compare each host with the expected state after the same records."""
         for index, host in enumerate(self.hosts):
             assert vars_of(host.fold) == self.expected[host.fold.version + 1]
             assert host.fold.version >= self.seen[index]
@@ -276,7 +276,7 @@
 
     @invariant()
     def each_change_is_accepted_once(self):
-        """Check that no copy brought a change back."""
+        """Check that no second copy of a change was accepted."""
         assert all(written.accepted <= 1 for written in self.written)
 
 
@@ -287,7 +287,7 @@
 
 
 def vars_of(fold: Fold) -> dict:
-    """Return a copy of a fold's state; the order of memory counts too."""
+    """Return a copy of a fold's state with the order of remembered entries."""
     copy = {name: value for name, value in vars(fold).items()}
     copy["slots"] = dict(fold.slots)
     copy["matches"] = dict(fold.matches)
--- a/agatetack/config/test_spread.py
+++ b/agatetack/config/test_spread.py
@@ -1,4 +1,4 @@
-"""Test that every host gets the newest configuration from whoever has it."""
+"""Test that every host gets the newest configuration from any source."""
 
 import pytest
 import trio
@@ -39,7 +39,7 @@
 LARGE_ROUTES = 2000
 FAST_LOG = {"poll_seconds": 0.1}
 PEER_BYTES_PER_SECOND = 18_000
-"""What the default byte budget of peers leaves for replies."""
+"""The part of the default byte budget for peers that is left for replies."""
 
 FULL = None
 LINE = ["host-0", "host-1", "host-2", "host-3"]
@@ -78,7 +78,7 @@
 
 
 BOOTSTRAPS = [
-    # Log out, records kept, a snapshot written, peers there; newest version.
+    # Log unavailable, records kept, snapshot written, peers running; version.
     (False, True, False, True, ROUTES - 1),
     (False, True, False, False, ROUTES - 1),
     (False, False, True, True, ROUTES - 1),
@@ -139,7 +139,7 @@
 
 
 async def keep_for(fleet: Fleet, seconds: float, kept_seconds: float) -> None:
-    """Let time pass in a log that keeps records for `kept_seconds`."""
+    """Advance the time of a log that keeps records for `kept_seconds`."""
     service = fleet.service
     for _ in range(round(seconds)):
         service.clock.wall_time += 1
@@ -170,7 +170,7 @@
         before = snapshots_written(fleet)
         await keep_for(fleet, 100, 20)
         written = snapshots_written(fleet) - before
-        # One is due each 8 to 12 s; were every host to write it, more.
+        # One is due every 8 to 12 s; there would be more if each host wrote it.
         assert 7 <= written <= 16
         for name in list(fleet.hosts):
             fleet.stop(name)
@@ -181,7 +181,7 @@
 
 
 def snapshots_written(fleet: Fleet) -> int:
-    """Return how many snapshots the hosts wrote to their ends."""
+    """Return how many complete snapshots the hosts have written."""
     stores = fleet.hosts.values()
     written = [store.counters.snapshots_written.get({}) for store in stores]
     return sum(count or 0 for count in written)
@@ -193,7 +193,7 @@
         late = fleet.hosts["host-2"]
         fleet.mesh.isolate("host-2")
         late.log.faults.outage = True
-        # A read that waits for a record began before the outage.
+        # Waits for the end of a read that began before the outage.
         await trio.sleep(IN_FORCE_SECONDS)
         await fill(fleet)
         fleet.service.truncate(CONFIG_STREAM, ROUTES - 1)
@@ -373,8 +373,8 @@
             await trio.sleep(0.01)
 
 
-# Guards against a configuration that is dropped since no host lived to write
-# a snapshot.
+# Guards against the loss of the configuration when each host stops before it
+# has written a snapshot.
 @pytest.mark.parametrize("live_seconds", [0.5, 2, 7])
 async def test_configuration_outlives_all_hosts(live_seconds, autojump_clock):
     log = {"retention_seconds": 40}
@@ -395,7 +395,8 @@
         assert store.version() == ROUTES - 1
 
 
-# Guards against a configuration that is dropped after all hosts were lost.
+# Guards against the loss of the configuration when all hosts stop and new ones
+# start only shortly before the log drops the last records.
 @pytest.mark.parametrize("left_seconds", [1.5, 3, 6, 12])
 async def test_configuration_outlives_the_loss_of_all_hosts(
     left_seconds, autojump_clock
@@ -403,7 +404,7 @@
     log = {"retention_seconds": 40}
     async with open_fleet(3, platform={"log": log}) as fleet:
         await fill(fleet)
-        # The last records that stand for the whole state.
+        # Lets the hosts write the last records that contain the whole state.
         await keep_for(fleet, 30, 40)
         for name in list(fleet.hosts):
             fleet.stop(name)
--- a/agatetack/config/test_store.py
+++ b/agatetack/config/test_store.py
@@ -1,4 +1,4 @@
-"""Test that changes are decided once, spread everywhere and never go back."""
+"""Test that changes are decided once, reach all hosts and are never undone."""
 
 import enum
 import itertools
@@ -97,21 +97,21 @@
 
 
 class Fault(enum.Enum):
-    """What may befall a fleet around a change."""
-
-    OUTAGE = "the log is out for a while"
-    OUT_FOR_OTHERS = "the log is out for all but the writer"
-    OUTAGE_AFTER = "the log goes out right after the first acceptance"
-    SLOW = "each call of the log takes long"
-    FROZEN = "the log neither answers nor refuses a while"
-    REPLY_LOST = "an append lands, its reply does not"
-    REQUEST_LOST = "an append never lands, nor does a reply"
-    LANDS_LATE = "an append lands late and unannounced"
+    """Faults that may occur in a fleet before or during a change."""
+
+    OUTAGE = "the log is unavailable for a while"
+    OUT_FOR_OTHERS = "the log is unavailable to all hosts but the writer"
+    OUTAGE_AFTER = "the log becomes unavailable after the first acceptance"
+    SLOW = "each call of the log takes a long time"
+    FROZEN = "the log neither answers nor refuses calls for a while"
+    REPLY_LOST = "an append takes effect, but its reply is lost"
+    REQUEST_LOST = "an append has no effect and no reply"
+    LANDS_LATE = "an append takes effect late and without a reply"
     RETENTION = "the log keeps only its newest record"
     RESTART = "a host is replaced"
     RESTART_ALL = "all hosts but the writers are replaced"
-    ISOLATED = "a host hears no peer"
-    RECORDS_LOST = "records passed on to peers are lost"
+    ISOLATED = "a host receives no messages from peers"
+    RECORDS_LOST = "records published to peers are lost"
 
 
 FAULTS = [(fault,) for fault in Fault]
@@ -120,7 +120,7 @@
 
 
 async def inject(fault: Fault, fleet: Fleet) -> None:
-    """Bring a fault about, before the change."""
+    """Start a fault, before the change."""
     service, hosts = fleet.service, fleet.hosts
     if fault is Fault.OUTAGE:
         service.faults.outage = True
@@ -189,7 +189,7 @@
 
 
 def assert_true(results: dict[str, ChangeResult], fleet: Fleet) -> None:
-    """Check that what the writers were told is what came to pass."""
+    """Check that the results returned to the writers match the decisions."""
     fold = fleet.hosts["host-0"].fold
     accepted = [
         change_id
--- a/agatetack/config/writing.py
+++ b/agatetack/config/writing.py
@@ -1,4 +1,4 @@
-"""Write one change to the log and settle what became of the append."""
+"""Append one change to the log and determine the outcome."""
 
 import trio
 
@@ -17,15 +17,15 @@
 
 
 class ChangeWriting:
-    """The appends of one change until it is decided.
+    """Appends one change to the log until it is decided.
 
-    All appends bear the same record, so the fold decides the first that
-    lands and passes over the others, in whatever order and how late they
-    come.
+    All appends contain the same record, so the fold decides the first one in
+    the log and ignores the others, in any order and no matter how late they
+    are appended.
 
     Attributes:
-        may_have_landed: Whether any append may take effect.
-        too_large: Whether the log takes no record of this size.
+        may_have_landed: Whether any append may have taken effect or still may.
+        too_large: Whether the record is too large for the log.
     """
 
     def __init__(self, tail: LogTail, payload: bytes, waiter: Waiter):
@@ -38,10 +38,10 @@
         self.too_large = False
 
     async def run(self, deadline: Deadline) -> None:
-        """Append until the change is decided or surely has not landed."""
+        """Append until the change is decided or certainly not in the log."""
         while not self.waiter.settled.is_set():
             landed_before = self.may_have_landed
-            # Also true if this task is cancelled within the append.
+            # Stays true if this task is cancelled during the append.
             self.may_have_landed = True
             try:
                 await self.tail.log.append(
@@ -70,8 +70,8 @@
                 await self.waiter.settled.wait()
 
     async def _read_back(self) -> None:
-        # Another append before the log was read would do no harm, but would
-        # add a record for nothing where only the reply was lost.
+        # Reads the log before the next append: if only the reply was lost,
+        # another append would be harmless but add a needless record.
         while not self.waiter.settled.is_set():
             try:
                 await self.tail.read_to_end()
