--- a/agatetack/config/serving.py
+++ b/agatetack/config/serving.py
@@ -11,7 +11,7 @@
 MAX_BATCH_BYTES = 8 * 1024
 """Maximum size of the records in one reply; peer traffic has a byte budget."""
 
-SNAPSHOT_PART_BYTES = 8 * 1024
+MAX_SNAPSHOT_CHUNK_BYTES = 8 * 1024
 """Maximum size of a snapshot chunk in one reply to a peer."""
 
 
@@ -99,5 +99,5 @@
     async def _snapshot(self) -> ServedSnapshot:
         version = self.state.fold.version
         content = await encode_snapshot(self.state.fold)
-        chunks = split_snapshot(content, version, SNAPSHOT_PART_BYTES)
+        chunks = split_snapshot(content, version, MAX_SNAPSHOT_CHUNK_BYTES)
         return ServedSnapshot(version, chunks)
--- a/agatetack/config/snapshot.py
+++ b/agatetack/config/snapshot.py
@@ -23,10 +23,10 @@
 }
 VERDICTS = {value: verdict for verdict, value in WIRE_VERDICTS.items()}
 
-RESTORE_SLOTS = 20
+SLOTS_PER_YIELD = 20
 """Number of routes restored before yielding to other tasks."""
 
-COMPRESS_BYTES = 64 * 1024
+COMPRESSED_BYTES_PER_YIELD = 64 * 1024
 """Bytes compressed before yielding to other tasks."""
 
 MAX_SNAPSHOT_BYTES = 64 * 2**20
@@ -41,9 +41,11 @@
     content = pack_snapshot(fold)
     compressor = zlib.compressobj(level=1)
     parts = []
-    for at in range(0, len(content), COMPRESS_BYTES):
+    for at in range(0, len(content), COMPRESSED_BYTES_PER_YIELD):
         await trio.lowlevel.checkpoint()
-        parts.append(compressor.compress(content[at : at + COMPRESS_BYTES]))
+        parts.append(
+            compressor.compress(content[at : at + COMPRESSED_BYTES_PER_YIELD])
+        )
     parts.append(compressor.flush())
     return b"".join(parts)
 
@@ -91,7 +93,7 @@
 async def _restore_slots(fold: Fold, record: wire.Snapshot) -> None:
     pairs = zip(record.slot_versions, record.slot_records, strict=True)
     for count, (version, payload) in enumerate(pairs):
-        if count % RESTORE_SLOTS == 0:
+        if count % SLOTS_PER_YIELD == 0:
             await trio.lowlevel.checkpoint()
         offset = LogOffset(version)
         change = decode_change(payload, offset).change
--- a/agatetack/config/snapshot_stream.py
+++ b/agatetack/config/snapshot_stream.py
@@ -13,7 +13,7 @@
     LogTruncated,
 )
 
-READ_RECORDS = 16
+MAX_READ_RECORDS = 16
 """Maximum number of chunks in one read; each may have the maximum record
 size."""
 
@@ -37,7 +37,7 @@
         deadline = Deadline(clock.now() + timeout_seconds)
         try:
             return await log.read(
-                SNAPSHOT_STREAM, start, deadline, max_records=READ_RECORDS
+                SNAPSHOT_STREAM, start, deadline, max_records=MAX_READ_RECORDS
             )
         except LogTruncated as truncated:
             start = truncated.first
--- a/agatetack/config/snapshot_writer.py
+++ b/agatetack/config/snapshot_writer.py
@@ -27,16 +27,16 @@
 )
 from agatetack.settings.model import Settings
 
-APPEND_TRIES = 5
+MAX_APPEND_ATTEMPTS = 5
 """Maximum number of appends of one chunk before the snapshot is abandoned until
 the next check."""
 
-STAGGER_SHARE = 0.05
+MAX_STAGGER_RATIO = 0.05
 """Maximum wait before a host writes a new snapshot, as a share of the time left
 until the log drops the current one. Without this limit, hosts that start
 shortly before that time would wait past it."""
 
-LEAST_STAGGER_SECONDS = 0.05
+MIN_STAGGER_LIMIT_SECONDS = 0.05
 """The limit on that wait is never below this, however little time is left."""
 
 
@@ -111,13 +111,15 @@
 
     def _stagger(self) -> float:
         """Return a random wait in seconds, to let another host write first."""
-        most = min(
+        limit = min(
             self.settings.snapshot_stagger_seconds, self.max_age_seconds / 4
         )
         if self.newest is not None:
             left = max(0.0, self.newest.dropped_at - self.clock.now())
-            most = min(most, max(left * STAGGER_SHARE, LEAST_STAGGER_SECONDS))
-        return random.uniform(0, most)
+            limit = min(
+                limit, max(left * MAX_STAGGER_RATIO, MIN_STAGGER_LIMIT_SECONDS)
+            )
+        return random.uniform(0, limit)
 
     def _due(self) -> bool:
         if not self.state.ready or self.state.fold.version == NO_VERSION:
@@ -195,7 +197,7 @@
         )
 
     async def _append(self, payload: bytes) -> None:
-        for _ in range(APPEND_TRIES):
+        for _ in range(MAX_APPEND_ATTEMPTS):
             now = self.clock.now()
             deadline = Deadline(now + self.log_settings.timeout_seconds)
             try:
--- a/agatetack/config/state.py
+++ b/agatetack/config/state.py
@@ -20,10 +20,10 @@
 from agatetack.ids import ChangeId, LogOffset
 from agatetack.logs import PartLog
 
-KEPT_BYTES = 512 * 1024
+MAX_KEPT_BYTES = 512 * 1024
 """Maximum total size of the records kept for peers that are behind."""
 
-TAKE_RECORDS = 8
+RECORDS_PER_YIELD = 8
 """Number of records folded before yielding to other tasks."""
 
 
@@ -135,8 +135,8 @@
 
     async def take_slowly(self, batch: Batch, source: Source) -> None:
         """Fold a batch in parts, so that a long one does not delay requests."""
-        for at in range(0, len(batch.payloads), TAKE_RECORDS):
-            part = batch.payloads[at : at + TAKE_RECORDS]
+        for at in range(0, len(batch.payloads), RECORDS_PER_YIELD):
+            part = batch.payloads[at : at + RECORDS_PER_YIELD]
             self.take(Batch(LogOffset(batch.first + at), part), source)
             await trio.lowlevel.checkpoint()
 
@@ -208,7 +208,9 @@
             )
         self.kept.append(KeptRecord(payload, self.fold.chain))
         self.kept_bytes += len(payload)
-        while len(self.kept) > self.max_kept or self.kept_bytes > KEPT_BYTES:
+        while (
+            len(self.kept) > self.max_kept or self.kept_bytes > MAX_KEPT_BYTES
+        ):
             self.kept_bytes -= len(self.kept.popleft().payload)
         return step
 
--- a/agatetack/config/tail.py
+++ b/agatetack/config/tail.py
@@ -14,7 +14,7 @@
 from agatetack.record_log.log import Log, LogError, LogPage, LogTruncated
 from agatetack.settings.model import Settings
 
-MAX_TURN_SECONDS = 3.5
+MAX_READ_INTERVAL_SECONDS = 3.5
 """Maximum interval between reads, including the wait for a record. Jitter makes
 the pause up to a quarter longer. A host without messages from peers still gets
 each change within 5 s."""
@@ -158,8 +158,11 @@
     async def _leave_reads_to_others(self) -> None:
         # In a large fleet each host reads less often; between its reads it
         # receives the records that its peers have read.
-        turn = self.exchange.fleet_size() / self.config.log_reads_per_second
-        pause = min(turn, MAX_TURN_SECONDS) - self.settings.poll_seconds
+        interval = self.exchange.fleet_size() / self.config.log_reads_per_second
+        pause = (
+            min(interval, MAX_READ_INTERVAL_SECONDS)
+            - self.settings.poll_seconds
+        )
         if pause > 0:
             await trio.sleep(pause * random.uniform(0.75, 1.25))
 
