--- a/agatetack/config/serving.py
+++ b/agatetack/config/serving.py
@@ -33,7 +33,7 @@
         return self.chunks[0].snapshot_id
 
 
-class RecordGiver:
+class RecordServer:
     """Serves one host's records and snapshots to its peers.
 
     Attributes:
--- a/agatetack/config/sharing.py
+++ b/agatetack/config/sharing.py
@@ -14,7 +14,7 @@
 from agatetack.config.chunks import SnapshotReader, check_chunk
 from agatetack.config.counters import Problem
 from agatetack.config.records import BadRecord, decode, encode
-from agatetack.config.serving import RecordGiver
+from agatetack.config.serving import RecordServer
 from agatetack.config.state import Batch, ConfigState, Source
 from agatetack.generated.config import ttypes as wire
 from agatetack.ids import Deadline, HostId, LogOffset
@@ -40,9 +40,9 @@
     """One host's exchange of configuration with its peers.
 
     Attributes:
-        heard: The last version that each peer has reported.
-        heard_more: Set and replaced when a peer reports its version.
-        complete_at: When every live peer should have reported its version.
+        reported_versions: The last version that each peer has reported.
+        version_reported: Set and replaced when a peer reports its version.
+        all_reported_at: When every live peer should have reported its version.
     """
 
     def __init__(
@@ -57,17 +57,17 @@
         self.exchange = exchange
         self.state = state
         self.clock = clock
-        self.giver = RecordGiver(state)
-        self.heard: dict[HostId, LogOffset] = {}
-        self.heard_more = trio.Event()
-        self.complete_at: Deadline | None = None
-        exchange.subscribe(Topic.CONFIG_RECORDS, self._records_came)
-        exchange.subscribe(Topic.CONFIG_OFFSET, self._offset_came)
-        exchange.serve(Topic.CONFIG_FETCH, self._answer_fetch)
+        self.server = RecordServer(state)
+        self.reported_versions: dict[HostId, LogOffset] = {}
+        self.version_reported = trio.Event()
+        self.all_reported_at: Deadline | None = None
+        exchange.subscribe(Topic.CONFIG_RECORDS, self._on_records_message)
+        exchange.subscribe(Topic.CONFIG_OFFSET, self._on_offset_message)
+        exchange.serve(Topic.CONFIG_FETCH, self._serve_fetch)
 
     def publish_from(self, version: LogOffset) -> None:
         """Send records from `version` on to every peer, up to a size limit."""
-        batch = self.giver.batch_after(
+        batch = self.server.batch_after(
             LogOffset(version - 1), MAX_PUBLISH_BYTES
         )
         if batch is not None:
@@ -78,8 +78,11 @@
         if not self.exchange.live_peers():
             return
         with trio.move_on_after(self.settings.acknowledge_seconds):
-            while max(self.heard.values(), default=NO_VERSION) < version:
-                await self.heard_more.wait()
+            while (
+                max(self.reported_versions.values(), default=NO_VERSION)
+                < version
+            ):
+                await self.version_reported.wait()
             return
         self.state.counters.problem(Problem.NOT_ACKNOWLEDGED)
 
@@ -88,7 +91,7 @@
         while True:
             changed = self.state.changed
             if self.state.ready:
-                notice = encode(self.giver.notice())
+                notice = encode(self.server.notice())
                 self.exchange.publish(Topic.CONFIG_OFFSET, notice)
             # Combines the notices of a burst of changes into one.
             await trio.sleep(MIN_NOTICE_SECONDS)
@@ -98,36 +101,36 @@
             with trio.move_on_after(wait):
                 await changed.wait()
 
-    def _offset_came(self, sender: HostId, payload: bytes) -> None:
+    def _on_offset_message(self, sender: HostId, payload: bytes) -> None:
         try:
             notice = decode(wire.OffsetNotice(), payload)
         except BadRecord as problem:
-            self._bad_message(sender, problem)
+            self._report_bad_message(sender, problem)
             return
-        self._hear(sender, notice)
+        self._on_notice(sender, notice)
 
-    def _hear(self, sender: HostId, notice: wire.OffsetNotice) -> None:
+    def _on_notice(self, sender: HostId, notice: wire.OffsetNotice) -> None:
         fold = self.state.fold
         if notice.version == fold.version and notice.chain != fold.chain:
-            self._chain_differs(sender)
-        self.heard[sender] = LogOffset(notice.version)
-        if self.complete_at is None:
+            self._report_chain_mismatch(sender)
+        self.reported_versions[sender] = LogOffset(notice.version)
+        if self.all_reported_at is None:
             wait = GOSSIP_ROUNDS * self.settings.gossip_seconds
-            self.complete_at = Deadline(self.clock.now() + wait)
-        self.heard_more.set()
-        self.heard_more = trio.Event()
+            self.all_reported_at = Deadline(self.clock.now() + wait)
+        self.version_reported.set()
+        self.version_reported = trio.Event()
 
-    def _records_came(self, sender: HostId, payload: bytes) -> None:
+    def _on_records_message(self, sender: HostId, payload: bytes) -> None:
         try:
             record = decode(wire.RecordBatch(), payload)
         except BadRecord as problem:
-            self._bad_message(sender, problem)
+            self._report_bad_message(sender, problem)
             return
-        if self._continues(sender, record):
+        if self._continues_fold(sender, record):
             batch = Batch(LogOffset(record.first), record.payloads)
             self.state.take(batch, Source.PEER)
 
-    def _continues(self, sender: HostId, record: wire.RecordBatch) -> bool:
+    def _continues_fold(self, sender: HostId, record: wire.RecordBatch) -> bool:
         """Return whether a batch continues this host's fold and checksum."""
         batch = Batch(LogOffset(record.first), record.payloads)
         if batch.last <= self.state.fold.version:
@@ -136,47 +139,51 @@
         if chain is None:
             return False
         if chain != record.chain:
-            self._chain_differs(sender)
+            self._report_chain_mismatch(sender)
             return False
         return True
 
     async def fetch(self) -> None:
         """Fetch missing records from peers, until cancelled."""
         while True:
-            heard_more = self.heard_more
-            if not self._ahead():
+            version_reported = self.version_reported
+            if not self._peers_ahead():
                 self._end_bootstrap()
                 with trio.move_on_after(self.settings.gossip_seconds):
-                    await heard_more.wait()
+                    await version_reported.wait()
                 continue
             # In most cases the record arrives from the log in this time.
             await trio.sleep(
                 self.settings.fetch_delay_seconds * random.uniform(0, 2)
             )
-            ahead = self._ahead()
-            if ahead:
-                await self._fetch_from(random.choice(ahead))
+            newest_peers = self._peers_ahead()
+            if newest_peers:
+                await self._fetch_from(random.choice(newest_peers))
 
-    def _ahead(self) -> list[HostId]:
+    def _peers_ahead(self) -> list[HostId]:
         live = {peer.id for peer in self.exchange.live_peers()}
-        self.heard = {
+        self.reported_versions = {
             host: version
-            for host, version in self.heard.items()
+            for host, version in self.reported_versions.items()
             if host in live
         }
-        newest = max(self.heard.values(), default=NO_VERSION)
+        newest = max(self.reported_versions.values(), default=NO_VERSION)
         if newest <= self.state.fold.version:
             return []
-        return [h for h, version in self.heard.items() if version == newest]
+        return [
+            h
+            for h, version in self.reported_versions.items()
+            if version == newest
+        ]
 
     def _end_bootstrap(self) -> None:
         # While the log is unavailable, a host is ready once it has the newest
         # version among its peers. It waits until all should have reported, as
         # the first one to report may be behind the others.
         if (
-            self.heard
-            and self.complete_at is not None
-            and self.clock.now() >= self.complete_at
+            self.reported_versions
+            and self.all_reported_at is not None
+            and self.clock.now() >= self.all_reported_at
         ):
             self.state.mark_ready()
 
@@ -185,20 +192,20 @@
         request = wire.FetchRequest(version=self.state.fold.version)
         try:
             for _ in range(MAX_FETCH_CALLS):
-                reply = await self._ask(peer, request)
-                request = await self._use(peer, reply, reader)
+                reply = await self._call_fetch(peer, request)
+                request = await self._apply_reply(peer, reply, reader)
                 if request is None:
                     return
         except PeerUnreachable as error:
-            self.heard.pop(peer, None)
+            self.reported_versions.pop(peer, None)
             self.state.problem(
                 Problem.PEER_UNREACHABLE, "fetch from a peer failed: %s.", error
             )
         except BadRecord as problem:
-            self.heard.pop(peer, None)
-            self._bad_message(peer, problem)
+            self.reported_versions.pop(peer, None)
+            self._report_bad_message(peer, problem)
 
-    async def _ask(
+    async def _call_fetch(
         self, peer: HostId, request: wire.FetchRequest
     ) -> wire.FetchReply:
         # The timeout for a small gap is short, as another peer can fill it.
@@ -213,14 +220,14 @@
         )
         return decode(wire.FetchReply(), payload)
 
-    async def _use(
+    async def _apply_reply(
         self, peer: HostId, reply: wire.FetchReply, reader: SnapshotReader
     ) -> wire.FetchRequest | None:
-        self._hear(peer, reply.notice)
+        self._on_notice(peer, reply.notice)
         if reply.chunk is not None:
-            return await self._use_chunk(reply.chunk, reader)
+            return await self._apply_chunk(reply.chunk, reader)
         before = self.state.fold.version
-        if reply.batch is not None and self._continues(peer, reply.batch):
+        if reply.batch is not None and self._continues_fold(peer, reply.batch):
             batch = Batch(LogOffset(reply.batch.first), reply.batch.payloads)
             await self.state.take_slowly(batch, Source.PEER)
         if self.state.fold.version >= reply.notice.version:
@@ -229,7 +236,7 @@
             raise BadRecord("a reply has no usable records though it is newer")
         return wire.FetchRequest(version=self.state.fold.version)
 
-    async def _use_chunk(
+    async def _apply_chunk(
         self, chunk: wire.SnapshotChunk, reader: SnapshotReader
     ) -> wire.FetchRequest:
         check_chunk(chunk)
@@ -244,16 +251,16 @@
             index=chunk.index + 1,
         )
 
-    async def _answer_fetch(self, sender: HostId, payload: bytes) -> bytes:
+    async def _serve_fetch(self, sender: HostId, payload: bytes) -> bytes:
         await trio.lowlevel.checkpoint()
         try:
             request = decode(wire.FetchRequest(), payload)
         except BadRecord as problem:
-            self._bad_message(sender, problem)
+            self._report_bad_message(sender, problem)
             return b""
-        return encode(await self.giver.answer(request))
+        return encode(await self.server.answer(request))
 
-    def _bad_message(self, sender: HostId, problem: BadRecord) -> None:
+    def _report_bad_message(self, sender: HostId, problem: BadRecord) -> None:
         self.state.problem(
             Problem.BAD_PEER_MESSAGE,
             "peer %s sent a malformed message: %s.",
@@ -261,7 +268,7 @@
             problem,
         )
 
-    def _chain_differs(self, sender: HostId) -> None:
+    def _report_chain_mismatch(self, sender: HostId) -> None:
         self.state.problem(
             Problem.CHAIN_MISMATCH,
             "checksum mismatch: peer %s has folded other records.",
--- a/agatetack/config/test_spread.py
+++ b/agatetack/config/test_spread.py
@@ -257,9 +257,9 @@
         fleet.service.faults.outage = True
         fleet.mesh.cut.add(("host-0", "new"))
         host = await fleet.start("new")
-        while not host.sharing.heard:
+        while not host.sharing.reported_versions:
             await trio.sleep(0.01)
-        assert host.sharing.heard == {"host-1": -1}
+        assert host.sharing.reported_versions == {"host-1": -1}
         await trio.sleep(0.1)
         fleet.mesh.cut.discard(("host-0", "new"))
         while not host.ready:
--- a/agatetack/operators/host_view.py
+++ b/agatetack/operators/host_view.py
@@ -74,7 +74,7 @@
 
 def _peer_offset(gateway: Gateway, peer: HostId) -> LogOffset | None:
     """Return how far a peer has read, as it told last; None if it never did."""
-    version = gateway.config.sharing.heard.get(peer)
+    version = gateway.config.sharing.reported_versions.get(peer)
     return None if version is None else LogOffset(version + 1)
 
 
