--- a/agatetack/config/fold.py
+++ b/agatetack/config/fold.py
@@ -73,7 +73,7 @@
     record: bytes
 
     @classmethod
-    def of(
+    def from_change(
         cls, change: RouteChange, offset: LogOffset, record: bytes
     ) -> "Slot":
         """Return the slot for an accepted change."""
@@ -158,11 +158,11 @@
             raise OutOfOrder(f"{offset} does not follow {self.version}")
         self.version = offset
         self.chain = extend_chain(self.chain, payload)
-        step = self._judge(offset, payload)
-        self._forget()
+        step = self._evaluate(offset, payload)
+        self._drop_expired()
         return step
 
-    def put(self, route_id: RouteId, slot: Slot) -> None:
+    def set_slot(self, route_id: RouteId, slot: Slot) -> None:
         """Make `slot` the newest accepted record of a route."""
         old = self.slots.get(route_id)
         if old is not None and old.route is not None:
@@ -174,13 +174,13 @@
         else:
             self.matches[route_match(slot.route)] = route_id
 
-    def _judge(self, offset: LogOffset, payload: bytes) -> Step:
+    def _evaluate(self, offset: LogOffset, payload: bytes) -> Step:
         try:
             written = decode_change(payload, offset)
         except BadRecord:
             return Step(Verdict.MALFORMED, None)
         change = written.change
-        if not _writer_is_sound(written, offset):
+        if not _has_valid_metadata(written, offset):
             return Step(Verdict.MALFORMED, None)
         if change.change_id in self.decisions:
             return Step(Verdict.DUPLICATE, change)
@@ -188,7 +188,9 @@
             return Step(Verdict.STALE, change)
         verdict = self._decide(offset, change)
         if verdict is Verdict.ACCEPTED:
-            self.put(change.route_id, Slot.of(change, offset, payload))
+            self.set_slot(
+                change.route_id, Slot.from_change(change, offset, payload)
+            )
         return Step(verdict, change)
 
     def _decide(self, offset: LogOffset, change: RouteChange) -> Verdict:
@@ -198,9 +200,9 @@
         elif change.expected_version != self.version_of(change.route_id):
             verdict = Verdict.CONFLICT
             winner = self._last_version(change.route_id)
-        elif self._holder(change) is not None:
+        elif self._conflicting_route(change) is not None:
             verdict = Verdict.PATH_TAKEN
-            winner = self._last_version(self._holder(change))
+            winner = self._last_version(self._conflicting_route(change))
         self.decisions[change.change_id] = Decision(
             offset, verdict, winner, change_digest(change)
         )
@@ -210,28 +212,28 @@
         slot = self.slots.get(route_id)
         return NO_VERSION if slot is None else slot.version
 
-    def _holder(self, change: RouteChange) -> RouteId | None:
+    def _conflicting_route(self, change: RouteChange) -> RouteId | None:
         if change.route is None:
             return None
-        holder = self.matches.get(route_match(change.route))
-        return None if holder == change.route_id else holder
+        owner_id = self.matches.get(route_match(change.route))
+        return None if owner_id == change.route_id else owner_id
 
-    def _forget(self) -> None:
-        last_forgotten = self.version - REMEMBERED_RECORDS
+    def _drop_expired(self) -> None:
+        last_expired = self.version - REMEMBERED_RECORDS
         while self.decisions:
             change_id = next(iter(self.decisions))
-            if self.decisions[change_id].offset > last_forgotten:
+            if self.decisions[change_id].offset > last_expired:
                 break
             del self.decisions[change_id]
         while self.deleted:
             route_id = next(iter(self.deleted))
-            if self.deleted[route_id] > last_forgotten:
+            if self.deleted[route_id] > last_expired:
                 break
             del self.deleted[route_id]
             del self.slots[route_id]
 
 
-def _writer_is_sound(written: WrittenChange, offset: LogOffset) -> bool:
+def _has_valid_metadata(written: WrittenChange, offset: LogOffset) -> bool:
     change_id = written.change.change_id
     return (
         NAME.fullmatch(change_id) is not None
--- a/agatetack/config/sharing.py
+++ b/agatetack/config/sharing.py
@@ -128,7 +128,7 @@
             return
         if self._continues_fold(sender, record):
             batch = Batch(LogOffset(record.first), record.payloads)
-            self.state.take(batch, Source.PEER)
+            self.state.fold_batch(batch, Source.PEER)
 
     def _continues_fold(self, sender: HostId, record: wire.RecordBatch) -> bool:
         """Return whether a batch continues this host's fold and checksum."""
@@ -229,7 +229,7 @@
         before = self.state.fold.version
         if reply.batch is not None and self._continues_fold(peer, reply.batch):
             batch = Batch(LogOffset(reply.batch.first), reply.batch.payloads)
-            await self.state.take_slowly(batch, Source.PEER)
+            await self.state.fold_in_parts(batch, Source.PEER)
         if self.state.fold.version >= reply.notice.version:
             return None
         if self.state.fold.version == before:
--- a/agatetack/config/snapshot.py
+++ b/agatetack/config/snapshot.py
@@ -97,7 +97,9 @@
             await trio.lowlevel.checkpoint()
         offset = LogOffset(version)
         change = decode_change(payload, offset).change
-        fold.put(change.route_id, Slot.of(change, offset, payload))
+        fold.set_slot(
+            change.route_id, Slot.from_change(change, offset, payload)
+        )
 
 
 def _restore_decisions(fold: Fold, record: wire.Snapshot) -> None:
--- a/agatetack/config/state.py
+++ b/agatetack/config/state.py
@@ -74,7 +74,7 @@
         settled: Set once one of the fields below is.
         decision: How the change was decided, or None.
         stale: Whether the record was appended too late to be decided.
-        lost_track: Whether the decision is unknown, as a snapshot replaced
+        decision_lost: Whether the decision is unknown, as a snapshot replaced
             the records that may have contained it.
     """
 
@@ -82,7 +82,7 @@
     settled: trio.Event = dataclasses.field(default_factory=trio.Event)
     decision: Decision | None = None
     stale: bool = False
-    lost_track: bool = False
+    decision_lost: bool = False
 
 
 class ConfigState:
@@ -116,7 +116,7 @@
         """Return the offset of the first record kept."""
         return LogOffset(self.fold.version - len(self.kept) + 1)
 
-    def take(self, batch: Batch, source: Source) -> list[Step]:
+    def fold_batch(self, batch: Batch, source: Source) -> list[Step]:
         """Fold those records of `batch` that come next.
 
         Records that are already folded are skipped, and nothing is folded
@@ -125,19 +125,19 @@
         skip = self.fold.version + 1 - batch.first
         if skip < 0 or skip >= len(batch.payloads):
             return []
-        steps = [self._take_one(p) for p in batch.payloads[skip:]]
+        steps = [self._fold_record(p) for p in batch.payloads[skip:]]
         self.counters.folded(source.value, len(steps))
-        self._renew_table(steps)
+        self._update_table(steps)
         for step in steps:
             self._settle(step)
         self._notify()
         return steps
 
-    async def take_slowly(self, batch: Batch, source: Source) -> None:
+    async def fold_in_parts(self, batch: Batch, source: Source) -> None:
         """Fold a batch in parts, so that a long one does not delay requests."""
         for at in range(0, len(batch.payloads), RECORDS_PER_YIELD):
             part = batch.payloads[at : at + RECORDS_PER_YIELD]
-            self.take(Batch(LogOffset(batch.first + at), part), source)
+            self.fold_batch(Batch(LogOffset(batch.first + at), part), source)
             await trio.lowlevel.checkpoint()
 
     def load(self, fold: Fold, source: Source) -> bool:
@@ -157,7 +157,7 @@
             self.source.table = RouteTable(fold.routes())
         for change_id, waiters in list(self.waiters.items()):
             for waiter in waiters:
-                self._settle_after_jump(change_id, waiter)
+                self._settle_after_load(change_id, waiter)
         self._notify()
         return True
 
@@ -198,7 +198,7 @@
         if not waiters:
             del self.waiters[change_id]
 
-    def _take_one(self, payload: bytes) -> Step:
+    def _fold_record(self, payload: bytes) -> Step:
         step = self.fold.apply(LogOffset(self.fold.version + 1), payload)
         self.counters.judged(step.verdict)
         if step.verdict in (Verdict.MALFORMED, Verdict.INVALID):
@@ -214,7 +214,7 @@
             self.kept_bytes -= len(self.kept.popleft().payload)
         return step
 
-    def _renew_table(self, steps: Sequence[Step]) -> None:
+    def _update_table(self, steps: Sequence[Step]) -> None:
         if self.source.table is None:
             return
         changed = {
@@ -240,15 +240,15 @@
                 waiter.stale = True
                 waiter.settled.set()
 
-    def _settle_after_jump(self, change_id: ChangeId, waiter: Waiter) -> None:
+    def _settle_after_load(self, change_id: ChangeId, waiter: Waiter) -> None:
         waiter.decision = self.fold.decisions.get(change_id)
         # The change may have been decided in the records that the snapshot
         # replaces, and the decision removed again by later ones of them.
-        waiter.lost_track = (
+        waiter.decision_lost = (
             waiter.decision is None
             and self.fold.version - waiter.base > REMEMBERED_RECORDS
         )
-        if waiter.decision is not None or waiter.lost_track:
+        if waiter.decision is not None or waiter.decision_lost:
             waiter.settled.set()
 
     def _notify(self) -> None:
--- a/agatetack/config/tail.py
+++ b/agatetack/config/tail.py
@@ -101,7 +101,7 @@
         self._end_outage()
         self.end = page.end
         if page.records:
-            await self._take(page)
+            await self._fold_page(page)
         if self.state.fold.version + 1 < page.end:
             return bool(page.records)
         if start > page.end:
@@ -126,10 +126,10 @@
             if self.state.fold.version + 1 >= self.end:
                 return
 
-    async def _take(self, page: LogPage) -> None:
+    async def _fold_page(self, page: LogPage) -> None:
         first = page.records[0].offset
         payloads = [record.payload for record in page.records]
-        await self.state.take_slowly(Batch(first, payloads), Source.LOG)
+        await self.state.fold_in_parts(Batch(first, payloads), Source.LOG)
 
     async def _load_snapshot(self) -> bool:
         try:
--- a/agatetack/config/test_fold.py
+++ b/agatetack/config/test_fold.py
@@ -235,7 +235,7 @@
     def read(self, host, first, count):
         """Let a host read any range of records, as from the log or a peer."""
         batch = Batch(first, self.log[first : first + count])
-        self.hosts[host].take(batch, Source.PEER)
+        self.hosts[host].fold_batch(batch, Source.PEER)
 
     @rule(host=strategies.integers(0, 2), count=strategies.integers(1, 9))
     def read_next(self, host, count):
