--- a/agatetack/config/store.py
+++ b/agatetack/config/store.py
@@ -25,7 +25,7 @@
 from agatetack.config.snapshot_writer import SnapshotWriter
 from agatetack.config.state import ConfigState, Waiter
 from agatetack.config.tail import LogTail
-from agatetack.config.writing import ChangeWriting
+from agatetack.config.writing import ChangeAppender
 from agatetack.ids import ChangeId, Deadline, LogOffset
 from agatetack.metrics import Metrics
 from agatetack.peers.exchange import Exchange
@@ -143,11 +143,11 @@
         waiter = self.state.add_waiter(change.change_id)
         try:
             payload = encode_change(change, waiter.base)
-            writing = ChangeWriting(self.tail, payload, waiter)
+            appender = ChangeAppender(self.tail, payload, waiter)
             with trio.move_on_at(deadline):
-                await writing.run(deadline)
+                await appender.run(deadline)
                 await self._spread(waiter.decision)
-            return self._result(change, waiter, writing)
+            return self._result(change, waiter, appender)
         finally:
             self.state.remove_waiter(change.change_id, waiter)
 
@@ -172,7 +172,7 @@
         return None
 
     def _result(
-        self, change: RouteChange, waiter: Waiter, writing: ChangeWriting
+        self, change: RouteChange, waiter: Waiter, appender: ChangeAppender
     ) -> ChangeResult:
         known = self._known(change)
         if known is not None:
@@ -184,13 +184,13 @@
                     "too many other records were appended before the change",
                 )
             )
-        if writing.too_large:
+        if appender.too_large:
             return Failure(
                 Rejected(
                     RejectReason.INVALID, "the record is too large for the log"
                 )
             )
-        if not writing.may_have_landed:
+        if not appender.may_be_in_log:
             return Failure(
                 Rejected(
                     RejectReason.LOG_UNAVAILABLE,
--- a/agatetack/config/writing.py
+++ b/agatetack/config/writing.py
@@ -16,7 +16,7 @@
 )
 
 
-class ChangeWriting:
+class ChangeAppender:
     """Appends one change to the log until it is decided.
 
     All appends contain the same record, so the fold decides the first one in
@@ -24,7 +24,7 @@
     are appended.
 
     Attributes:
-        may_have_landed: Whether any append may have taken effect or still may.
+        may_be_in_log: Whether any append may have taken effect or still may.
         too_large: Whether the record is too large for the log.
     """
 
@@ -34,31 +34,31 @@
         self.counters = tail.state.counters
         self.payload = payload
         self.waiter = waiter
-        self.may_have_landed = False
+        self.may_be_in_log = False
         self.too_large = False
 
     async def run(self, deadline: Deadline) -> None:
         """Append until the change is decided or certainly not in the log."""
         while not self.waiter.settled.is_set():
-            landed_before = self.may_have_landed
+            earlier_may_be_in_log = self.may_be_in_log
             # Stays true if this task is cancelled during the append.
-            self.may_have_landed = True
+            self.may_be_in_log = True
             try:
                 await self.tail.log.append(
                     CONFIG_STREAM, self.payload, deadline
                 )
             except LogTooFast as too_fast:
-                self.may_have_landed = landed_before
+                self.may_be_in_log = earlier_may_be_in_log
                 self.counters.appended(AppendResult.TOO_FAST)
                 await self._wait_until(too_fast.retry_at)
             except LogRecordTooLarge:
-                self.may_have_landed = landed_before
+                self.may_be_in_log = earlier_may_be_in_log
                 self.too_large = True
                 return
             except LogUnavailable:
-                self.may_have_landed = landed_before
+                self.may_be_in_log = earlier_may_be_in_log
                 self.counters.appended(AppendResult.UNAVAILABLE)
-                if not landed_before:
+                if not earlier_may_be_in_log:
                     return
                 await self._read_back()
             except LogOutcomeUnknown:
