--- a/agatetack/config/counters.py
+++ b/agatetack/config/counters.py
@@ -83,35 +83,37 @@
         for result in AppendResult:
             self.appends.add({"result": result.value}, 0)
 
-    def judged(self, verdict: Verdict) -> None:
+    def count_verdict(self, verdict: Verdict) -> None:
         """Count a record by its verdict."""
         self.verdicts.inc({"verdict": verdict.value})
 
-    def folded(self, source: str, count: int) -> None:
+    def count_folded(self, source: str, count: int) -> None:
         """Count folded records by source."""
         self.records.add({"source": source}, count)
 
-    def loaded(self, source: str) -> None:
+    def count_loaded(self, source: str) -> None:
         """Count a loaded snapshot by source."""
         self.snapshots_loaded.inc({"source": source})
 
-    def written(self) -> None:
+    def count_written(self) -> None:
         """Count a written snapshot."""
         self.snapshots_written.inc({})
 
-    def problem(self, problem: Problem) -> None:
+    def count_problem(self, problem: Problem) -> None:
         """Count a problem."""
         self.problems.inc({"problem": problem.value})
 
-    def appended(self, result: AppendResult) -> None:
+    def count_append(self, result: AppendResult) -> None:
         """Count an append by its result."""
         self.appends.inc({"result": result.value})
 
-    def confirm(self, wall: WallTime) -> None:
+    def set_confirmed(self, wall: WallTime) -> None:
         """Set the time at which this host last held the newest version."""
         self.confirmed.set({}, wall)
 
-    def at(self, version: LogOffset, routes: int, ready: bool) -> None:
+    def set_position(
+        self, version: LogOffset, routes: int, ready: bool
+    ) -> None:
         """Set the gauges of the version, the routes and readiness."""
         self.version.set({}, version)
         self.routes.set({}, routes)
--- a/agatetack/config/sharing.py
+++ b/agatetack/config/sharing.py
@@ -84,7 +84,7 @@
             ):
                 await self.version_reported.wait()
             return
-        self.state.counters.problem(Problem.NOT_ACKNOWLEDGED)
+        self.state.counters.count_problem(Problem.NOT_ACKNOWLEDGED)
 
     async def announce(self) -> None:
         """Announce this host's version to its peers, until cancelled."""
@@ -198,7 +198,7 @@
                     return
         except PeerUnreachable as error:
             self.reported_versions.pop(peer, None)
-            self.state.problem(
+            self.state.report_problem(
                 Problem.PEER_UNREACHABLE, "fetch from a peer failed: %s.", error
             )
         except BadRecord as problem:
@@ -261,7 +261,7 @@
         return encode(await self.server.answer(request))
 
     def _report_bad_message(self, sender: HostId, problem: BadRecord) -> None:
-        self.state.problem(
+        self.state.report_problem(
             Problem.BAD_PEER_MESSAGE,
             "peer %s sent a malformed message: %s.",
             sender,
@@ -269,7 +269,7 @@
         )
 
     def _report_chain_mismatch(self, sender: HostId) -> None:
-        self.state.problem(
+        self.state.report_problem(
             Problem.CHAIN_MISMATCH,
             "checksum mismatch: peer %s has folded other records.",
             sender,
--- a/agatetack/config/snapshot_stream.py
+++ b/agatetack/config/snapshot_stream.py
@@ -63,7 +63,7 @@
         page = await read_snapshots(log, start, clock, timeout_seconds)
         payloads = [record.payload for record in page.records]
         for problem in read_chunks(reader, payloads):
-            state.problem(
+            state.report_problem(
                 Problem.BAD_SNAPSHOT, "skipped a snapshot chunk: %s.", problem
             )
         if not page.records or page.records[-1].offset + 1 >= page.end:
@@ -75,7 +75,7 @@
     try:
         return await reader.load()
     except BadRecord as problem:
-        state.problem(
+        state.report_problem(
             Problem.BAD_SNAPSHOT,
             "cannot load the newest snapshot: %s.",
             problem,
--- a/agatetack/config/snapshot_writer.py
+++ b/agatetack/config/snapshot_writer.py
@@ -102,7 +102,7 @@
                 if self._due():
                     await self._write()
             except LogError as error:
-                self.state.problem(
+                self.state.report_problem(
                     Problem.SNAPSHOT_FAILED,
                     "could not write a snapshot: %s.",
                     error,
@@ -153,7 +153,7 @@
         try:
             chunk = decode_chunk(record.payload)
         except BadRecord:
-            self.state.counters.problem(Problem.BAD_SNAPSHOT)
+            self.state.counters.count_problem(Problem.BAD_SNAPSHOT)
             return
         if len(self.missing) > MAX_PARTIAL_SNAPSHOTS:
             del self.missing[next(iter(self.missing))]
@@ -188,7 +188,7 @@
         )
         for chunk in chunks:
             await self._append(encode(chunk))
-        self.state.counters.written()
+        self.state.counters.count_written()
         self.state.log.info(
             "wrote a snapshot of version %d in %d chunks, %d bytes.",
             version,
--- a/agatetack/config/state.py
+++ b/agatetack/config/state.py
@@ -126,7 +126,7 @@
         if skip < 0 or skip >= len(batch.payloads):
             return []
         steps = [self._fold_record(p) for p in batch.payloads[skip:]]
-        self.counters.folded(source.value, len(steps))
+        self.counters.count_folded(source.value, len(steps))
         self._update_table(steps)
         for step in steps:
             self._settle(step)
@@ -149,7 +149,7 @@
             fold.version,
             source.value,
         )
-        self.counters.loaded(source.value)
+        self.counters.count_loaded(source.value)
         self.fold = fold
         self.kept.clear()
         self.kept_bytes = 0
@@ -200,7 +200,7 @@
 
     def _fold_record(self, payload: bytes) -> Step:
         step = self.fold.apply(LogOffset(self.fold.version + 1), payload)
-        self.counters.judged(step.verdict)
+        self.counters.count_verdict(step.verdict)
         if step.verdict in (Verdict.MALFORMED, Verdict.INVALID):
             self.log.warning(
                 "skipped record %d, which is malformed or invalid.",
@@ -252,11 +252,15 @@
             waiter.settled.set()
 
     def _notify(self) -> None:
-        self.counters.at(self.fold.version, len(self.fold.matches), self.ready)
+        self.counters.set_position(
+            self.fold.version, len(self.fold.matches), self.ready
+        )
         self.changed.set()
         self.changed = trio.Event()
 
-    def problem(self, problem: Problem, text: str, *args: object) -> None:
+    def report_problem(
+        self, problem: Problem, text: str, *args: object
+    ) -> None:
         """Count a problem and log it as a warning."""
-        self.counters.problem(problem)
+        self.counters.count_problem(problem)
         self.log.warning(text, *args)
--- a/agatetack/config/tail.py
+++ b/agatetack/config/tail.py
@@ -57,14 +57,14 @@
                 else:
                     await self._pause()
             except LogTruncated as truncated:
-                self.state.problem(
+                self.state.report_problem(
                     Problem.LOG_TRUNCATED,
                     "the log no longer has records before offset %d;"
                     " looking for a snapshot.",
                     truncated.first,
                 )
                 if not await self._load_snapshot():
-                    self.state.problem(
+                    self.state.report_problem(
                         Problem.NO_SNAPSHOT, "the log has no newer snapshot."
                     )
                     await self._pause()
@@ -106,14 +106,14 @@
             return bool(page.records)
         if start > page.end:
             # This host's records were read from the log, which has lost them.
-            self.state.problem(
+            self.state.report_problem(
                 Problem.LOG_BEHIND,
                 "the log ends at offset %d, before this host's version.",
                 page.end,
             )
             return False
         self.state.mark_ready()
-        self.state.counters.confirm(self.clock.wall())
+        self.state.counters.set_confirmed(self.clock.wall())
         return True
 
     async def read_to_end(self) -> None:
@@ -145,7 +145,7 @@
         return fold is not None and self.state.load(fold, Source.LOG)
 
     def _begin_outage(self, error: LogError) -> None:
-        self.state.counters.problem(Problem.LOG_UNAVAILABLE)
+        self.state.counters.count_problem(Problem.LOG_UNAVAILABLE)
         if not self.outage:
             self.state.log.warning("cannot read the log: %s.", error)
         self.outage = True
--- a/agatetack/config/writing.py
+++ b/agatetack/config/writing.py
@@ -49,7 +49,7 @@
                 )
             except LogTooFast as too_fast:
                 self.may_be_in_log = earlier_may_be_in_log
-                self.counters.appended(AppendResult.TOO_FAST)
+                self.counters.count_append(AppendResult.TOO_FAST)
                 await self._wait_until(too_fast.retry_at)
             except LogRecordTooLarge:
                 self.may_be_in_log = earlier_may_be_in_log
@@ -57,15 +57,15 @@
                 return
             except LogUnavailable:
                 self.may_be_in_log = earlier_may_be_in_log
-                self.counters.appended(AppendResult.UNAVAILABLE)
+                self.counters.count_append(AppendResult.UNAVAILABLE)
                 if not earlier_may_be_in_log:
                     return
                 await self._read_back()
             except LogOutcomeUnknown:
-                self.counters.appended(AppendResult.IN_DOUBT)
+                self.counters.count_append(AppendResult.IN_DOUBT)
                 await self._read_back()
             else:
-                self.counters.appended(AppendResult.DONE)
+                self.counters.count_append(AppendResult.DONE)
                 await self._read_back()
                 await self.waiter.settled.wait()
 
