--- a/agatetack/config/route.py
+++ b/agatetack/config/route.py
@@ -94,7 +94,9 @@
         for prefix, group in self.by_prefix.items():
             self._set_group(prefix, group)
 
-    def replaced(self, route_id: RouteId, route: Route | None) -> "RouteTable":
+    def with_route(
+        self, route_id: RouteId, route: Route | None
+    ) -> "RouteTable":
         """Return a copy with one route added, replaced or, with None, removed.
 
         This table stays unchanged for code that still uses it. The copy shares
--- a/agatetack/config/route_file.py
+++ b/agatetack/config/route_file.py
@@ -151,11 +151,11 @@
         if isinstance(route.path_prefix, str) and isinstance(route.host, str):
             self.routes[route.id] = route
             self.indexes[route.id] = index
-            clash = self.matches.setdefault(route_match(route), route.id)
-            if clash != route.id:
+            first_id = self.matches.setdefault(route_match(route), route.id)
+            if first_id != route.id:
                 self._add(
                     (index, "path_prefix"),
-                    f"route {clash} in line {self._line(clash)}"
+                    f"route {first_id} in line {self._line(first_id)}"
                     " takes the same host and path prefix",
                 )
 
--- a/agatetack/config/route_rules.py
+++ b/agatetack/config/route_rules.py
@@ -103,7 +103,7 @@
     )
 
 
-def check_clash(
+def check_unique_match(
     route: Route, others: Iterable[Route]
 ) -> tuple[RouteFinding, ...]:
     """Return a finding if another route matches the same requests.
@@ -112,22 +112,22 @@
         route: The route to accept.
         others: The routes in force; one with the same id is ignored.
     """
-    clash = find_clash(route, others)
-    if clash is None:
+    duplicate_id = find_same_match(route, others)
+    if duplicate_id is None:
         return ()
-    message = f"route {clash} takes the same host and path prefix"
+    message = f"route {duplicate_id} takes the same host and path prefix"
     return (RouteFinding(RouteField.PATH_PREFIX, message),)
 
 
-def find_clash(route: Route, others: Iterable[Route]) -> RouteId | None:
+def find_same_match(route: Route, others: Iterable[Route]) -> RouteId | None:
     """Return the first id, in sort order, of other routes with this match."""
-    wanted = route_match(route)
-    clashes = (
+    own_match = route_match(route)
+    same_match_ids = (
         other.id
         for other in others
-        if other.id != route.id and route_match(other) == wanted
+        if other.id != route.id and route_match(other) == own_match
     )
-    return min(clashes, default=None)
+    return min(same_match_ids, default=None)
 
 
 def _check_names(route: Route) -> Iterable[RouteFinding]:
@@ -197,7 +197,7 @@
         MIN_DEADLINE_SECONDS,
         MAX_DEADLINE_SECONDS,
     )
-    yield from _check_whole(
+    yield from _check_integer(
         RouteField.MAX_BODY_BYTES, route.max_body_bytes, MAX_BODY_BYTES
     )
     yield from _check_number(
@@ -206,16 +206,16 @@
         0.0,
         MAX_REQUESTS_PER_SECOND,
     )
-    yield from _check_whole(RouteField.MAX_QUEUE, route.max_queue, MAX_QUEUE)
+    yield from _check_integer(RouteField.MAX_QUEUE, route.max_queue, MAX_QUEUE)
     for field, seconds in (
         (RouteField.TIMEOUT_SECONDS, route.timeout_seconds),
         (RouteField.TARGET_LATENCY_SECONDS, route.target_latency_seconds),
     ):
         yield from _check_number(field, seconds, 0.0, MAX_DEADLINE_SECONDS)
-    yield from _check_whole(
+    yield from _check_integer(
         RouteField.MAX_ATTEMPTS, route.max_attempts, MAX_ATTEMPTS
     )
-    yield from _check_whole(RouteField.PRIORITY, route.priority, MAX_PRIORITY)
+    yield from _check_integer(RouteField.PRIORITY, route.priority, MAX_PRIORITY)
     yield from _check_split(route.split)
     yield from _check_regions(route.regions)
 
@@ -257,19 +257,19 @@
 
 
 def _check_number(
-    field: RouteField, value: float, least: float, most: float
+    field: RouteField, value: float, minimum: float, maximum: float
 ) -> Iterable[RouteFinding]:
     if isinstance(value, bool) or not isinstance(value, int | float):
         yield RouteFinding(field, "must be a number")
     # This also rejects NaN, as every comparison with it is false.
-    elif not least <= value <= most:
-        yield RouteFinding(field, f"must be from {least:g} to {most:g}")
+    elif not minimum <= value <= maximum:
+        yield RouteFinding(field, f"must be from {minimum:g} to {maximum:g}")
 
 
-def _check_whole(
-    field: RouteField, value: int, most: int
+def _check_integer(
+    field: RouteField, value: int, maximum: int
 ) -> Iterable[RouteFinding]:
     if isinstance(value, bool) or not isinstance(value, int):
         yield RouteFinding(field, "must be a whole number")
-    elif not 0 <= value <= most:
-        yield RouteFinding(field, f"must be from 0 to {most}")
+    elif not 0 <= value <= maximum:
+        yield RouteFinding(field, f"must be from 0 to {maximum}")
--- a/agatetack/config/state.py
+++ b/agatetack/config/state.py
@@ -225,7 +225,7 @@
         for route_id in changed:
             slot = self.fold.slots.get(route_id)
             route = None if slot is None else slot.route
-            self.source.table = self.source.table.replaced(route_id, route)
+            self.source.table = self.source.table.with_route(route_id, route)
 
     def _settle(self, step: Step) -> None:
         if step.change is None:
--- a/agatetack/config/test_route_rules.py
+++ b/agatetack/config/test_route_rules.py
@@ -9,8 +9,8 @@
 from agatetack.config.route_rules import (
     MAX_BODY_BYTES,
     MAX_QUEUE,
-    check_clash,
     check_route,
+    check_unique_match,
 )
 from agatetack.ids import RouteId, ServiceId, TeamId
 
@@ -111,4 +111,4 @@
 )
 def test_two_routes_clash_when_they_take_the_same_requests(changes, clashes):
     other = dataclasses.replace(VALID, **{"id": "other", **changes})
-    assert bool(check_clash(VALID, [other])) is clashes
+    assert bool(check_unique_match(VALID, [other])) is clashes
--- a/agatetack/operators/host_backend.py
+++ b/agatetack/operators/host_backend.py
@@ -14,7 +14,7 @@
     RouteChange,
 )
 from agatetack.config.fold import Slot
-from agatetack.config.route_rules import check_clash, check_route
+from agatetack.config.route_rules import check_route, check_unique_match
 from agatetack.gateway import Gateway
 from agatetack.ids import (
     ChangeId,
@@ -112,7 +112,7 @@
             views.Finding(f"route.{finding.field.value}", finding.message)
             for finding in (
                 *check_route(change.route),
-                *check_clash(change.route, others),
+                *check_unique_match(change.route, others),
             )
         ]
 
--- a/agatetack/testing/memory_backend.py
+++ b/agatetack/testing/memory_backend.py
@@ -8,7 +8,7 @@
 from returns.result import Failure, Result, Success
 
 from agatetack.config.route import Route
-from agatetack.config.route_rules import check_clash, check_route
+from agatetack.config.route_rules import check_route, check_unique_match
 from agatetack.ids import (
     ChangeId,
     Deadline,
@@ -114,7 +114,7 @@
             views.Finding(f"route.{finding.field.value}", finding.message)
             for finding in (
                 *check_route(change.route),
-                *check_clash(change.route, others),
+                *check_unique_match(change.route, others),
             )
         ]
 
--- a/bench/config_state.py
+++ b/bench/config_state.py
@@ -147,7 +147,7 @@
     fold = fold_all(records)
     table = RouteTable(fold.routes())
     route = dataclasses.replace(make_route(routes // 2), max_queue=7)
-    delta = best_seconds(lambda: table.replaced(route.id, route))
+    delta = best_seconds(lambda: table.with_route(route.id, route))
     rebuild = best_seconds(lambda: RouteTable(fold.routes()))
     content = trio.run(encode_snapshot, fold)
     encode = best_seconds(lambda: trio.run(encode_snapshot, fold))
