--- a/agatetack/config/chunks.py
+++ b/agatetack/config/chunks.py
@@ -37,8 +37,11 @@
         version: The last offset folded into it.
         max_bytes: Maximum size of an encoded chunk.
     """
-    room = max(1, max_bytes - CHUNK_OVERHEAD_BYTES)
-    parts = [content[at : at + room] for at in range(0, len(content), room)]
+    max_data_bytes = max(1, max_bytes - CHUNK_OVERHEAD_BYTES)
+    parts = [
+        content[at : at + max_data_bytes]
+        for at in range(0, len(content), max_data_bytes)
+    ]
     snapshot_id = uuid.uuid4().hex
     digest = checksum(content)
     return [
--- a/agatetack/config/document_routes.py
+++ b/agatetack/config/document_routes.py
@@ -78,11 +78,11 @@
         self.limits: CallerLimits | None = None
         self.watchers: list[Callable[[], None]] = []
         self.load_paths: dict[ServiceId, str] = {}
-        self.taken = metrics.counter(
+        self.results_counter = metrics.counter(
             "agatetack_documents_total",
             "Documents of operators read, by result.",
         )
-        self.shown = metrics.gauge(
+        self.version_gauge = metrics.gauge(
             "agatetack_document_version",
             "Version of the operators' document in force.",
         )
@@ -97,7 +97,7 @@
             # Without a value the record is deleted; the last document stays
             # in force.
             if record.key == self.key and record.value is not None:
-                self._take(record.value, record.offset)
+                self._read_document(record.value, record.offset)
 
     def holds_until(
         self, known: KeyedRecord, found: KeyedRecord | None
@@ -122,11 +122,11 @@
         except BadDocument:
             return NO_DOCUMENT
 
-    def _take(self, content: bytes, offset: LogOffset) -> None:
+    def _read_document(self, content: bytes, offset: LogOffset) -> None:
         try:
             document = self.decoder.decode(content)
         except BadDocument as error:
-            self.taken.inc({"result": "malformed"})
+            self.results_counter.inc({"result": "malformed"})
             log.note(
                 "document-malformed",
                 offset=offset,
@@ -135,7 +135,7 @@
             )
             return
         if document.version <= self.version:
-            self.taken.inc({"result": "old"})
+            self.results_counter.inc({"result": "old"})
             return
         self._put_in_force(document, offset)
 
@@ -150,8 +150,8 @@
         )
         self.limits = document.limits
         self.source.table = WholePrefixTable(document.routes)
-        self.taken.inc({"result": "in-force"})
-        self.shown.set({}, document.version)
+        self.results_counter.inc({"result": "in-force"})
+        self.version_gauge.set({}, document.version)
         log.note(
             "document-in-force",
             version=document.version,
--- a/agatetack/config/snapshot_writer.py
+++ b/agatetack/config/snapshot_writer.py
@@ -64,7 +64,7 @@
 
     Attributes:
         newest: The newest complete snapshot seen, or None.
-        missing: Indexes of the chunks not seen yet, by incomplete snapshot.
+        missing_chunks: Indexes of unseen chunks, by incomplete snapshot.
         next_offset: The next offset of the snapshot stream to read.
     """
 
@@ -78,7 +78,7 @@
         self.state = state
         self.clock = clock
         self.newest: SeenSnapshot | None = None
-        self.missing: dict[str, set[int]] = {}
+        self.missing_chunks: dict[str, set[int]] = {}
         self.next_offset = LogOffset(0)
 
     @property
@@ -95,10 +95,10 @@
             await self.state.changed.wait()
         while True:
             try:
-                await self._watch()
+                await self._read_stream()
                 if self._due():
                     await trio.sleep(self._stagger())
-                    await self._watch()
+                    await self._read_stream()
                 if self._due():
                     await self._write()
             except LogError as error:
@@ -115,9 +115,12 @@
             self.settings.snapshot_stagger_seconds, self.max_age_seconds / 4
         )
         if self.newest is not None:
-            left = max(0.0, self.newest.dropped_at - self.clock.now())
+            seconds_left = max(0.0, self.newest.dropped_at - self.clock.now())
             limit = min(
-                limit, max(left * MAX_STAGGER_RATIO, MIN_STAGGER_LIMIT_SECONDS)
+                limit,
+                max(
+                    seconds_left * MAX_STAGGER_RATIO, MIN_STAGGER_LIMIT_SECONDS
+                ),
             )
         return random.uniform(0, limit)
 
@@ -134,7 +137,7 @@
     def _records_behind(self) -> int:
         return self.state.fold.version - self.newest.version
 
-    async def _watch(self) -> None:
+    async def _read_stream(self) -> None:
         while True:
             page = await read_snapshots(
                 self.log,
@@ -143,40 +146,44 @@
                 self.log_settings.timeout_seconds,
             )
             for record in page.records:
-                self._see(record)
+                self._track_chunk(record)
             if page.records:
                 self.next_offset = LogOffset(page.records[-1].offset + 1)
             if self.next_offset >= page.end or not page.records:
                 return
 
-    def _see(self, record: LogRecord) -> None:
+    def _track_chunk(self, record: LogRecord) -> None:
         try:
             chunk = decode_chunk(record.payload)
         except BadRecord:
             self.state.counters.count_problem(Problem.BAD_SNAPSHOT)
             return
-        if len(self.missing) > MAX_PARTIAL_SNAPSHOTS:
-            del self.missing[next(iter(self.missing))]
-        missing = self.missing.setdefault(
+        if len(self.missing_chunks) > MAX_PARTIAL_SNAPSHOTS:
+            del self.missing_chunks[next(iter(self.missing_chunks))]
+        missing_chunks = self.missing_chunks.setdefault(
             chunk.snapshot_id, set(range(chunk.count))
         )
-        missing.discard(chunk.index)
-        if missing:
+        missing_chunks.discard(chunk.index)
+        if missing_chunks:
             return
-        del self.missing[chunk.snapshot_id]
+        del self.missing_chunks[chunk.snapshot_id]
         if self.newest is None or chunk.version >= self.newest.version:
             # Older incomplete snapshots are no longer needed.
-            self.missing.clear()
-            self.newest = self._seen(chunk.version, record.appended_at)
+            self.missing_chunks.clear()
+            self.newest = self._seen_snapshot(chunk.version, record.appended_at)
 
-    def _seen(self, version: int, appended_at: WallTime) -> SeenSnapshot:
+    def _seen_snapshot(
+        self, version: int, appended_at: WallTime
+    ) -> SeenSnapshot:
         # Reads the wall clock only once, so its later jumps have no effect.
         age = max(self.clock.wall() - appended_at, 0.0)
-        begun = self.clock.now() - min(age, self.log_settings.retention_seconds)
+        append_time = self.clock.now() - min(
+            age, self.log_settings.retention_seconds
+        )
         return SeenSnapshot(
             LogOffset(version),
-            Deadline(begun + self.max_age_seconds),
-            Deadline(begun + self.log_settings.retention_seconds),
+            Deadline(append_time + self.max_age_seconds),
+            Deadline(append_time + self.log_settings.retention_seconds),
         )
 
     async def _write(self) -> None:
--- a/agatetack/config/store.py
+++ b/agatetack/config/store.py
@@ -35,13 +35,13 @@
 ChangeResult = Result[Accepted, Rejected | InDoubt]
 """The result of `ConfigStore.apply`."""
 
-REASONS = {
+REJECT_REASONS = {
     Verdict.CONFLICT: RejectReason.CONFLICT,
     Verdict.PATH_TAKEN: RejectReason.PATH_TAKEN,
     Verdict.INVALID: RejectReason.INVALID,
 }
 
-DETAILS = {
+REJECT_DETAILS = {
     Verdict.CONFLICT: "the route is not at the expected version",
     Verdict.PATH_TAKEN: "another route takes the same host and path prefix",
     Verdict.INVALID: "the change breaks the rules",
@@ -114,7 +114,9 @@
         if decision.verdict is Verdict.ACCEPTED:
             return ChangeState(ChangeStatus.ACCEPTED, decision.offset)
         return ChangeState(
-            ChangeStatus.REJECTED, decision.winner, REASONS[decision.verdict]
+            ChangeStatus.REJECTED,
+            decision.winner,
+            REJECT_REASONS[decision.verdict],
         )
 
     async def apply(
@@ -134,24 +136,24 @@
             force on this host, Rejected if it never will be in force, and
             InDoubt if the outcome was not known by `deadline`.
         """
-        known = self._known(change)
+        known = self._known_result(change)
         if known is not None:
             return known
-        refusal = self._refuse(change)
-        if refusal is not None:
-            return Failure(refusal)
+        rejection = self._reject_early(change)
+        if rejection is not None:
+            return Failure(rejection)
         waiter = self.state.add_waiter(change.change_id)
         try:
             payload = encode_change(change, waiter.base)
             appender = ChangeAppender(self.tail, payload, waiter)
             with trio.move_on_at(deadline):
                 await appender.run(deadline)
-                await self._spread(waiter.decision)
+                await self._publish(waiter.decision)
             return self._result(change, waiter, appender)
         finally:
             self.state.remove_waiter(change.change_id, waiter)
 
-    def _refuse(self, change: RouteChange) -> Rejected | None:
+    def _reject_early(self, change: RouteChange) -> Rejected | None:
         findings = check_change(change)
         if findings:
             return Rejected(RejectReason.INVALID, "; ".join(findings))
@@ -167,14 +169,14 @@
         current = self.fold.version_of(change.route_id)
         if NO_VERSION < expected <= self.version() and expected != current:
             return Rejected(
-                RejectReason.CONFLICT, DETAILS[Verdict.CONFLICT], current
+                RejectReason.CONFLICT, REJECT_DETAILS[Verdict.CONFLICT], current
             )
         return None
 
     def _result(
         self, change: RouteChange, waiter: Waiter, appender: ChangeAppender
     ) -> ChangeResult:
-        known = self._known(change)
+        known = self._known_result(change)
         if known is not None:
             return known
         if waiter.stale:
@@ -199,13 +201,13 @@
             )
         return Failure(InDoubt("the change was not read back in time"))
 
-    async def _spread(self, decision: Decision | None) -> None:
+    async def _publish(self, decision: Decision | None) -> None:
         if decision is None or decision.verdict is not Verdict.ACCEPTED:
             return
         self.sharing.publish_from(decision.offset)
         await self.sharing.wait_acknowledged(decision.offset)
 
-    def _known(self, change: RouteChange) -> ChangeResult | None:
+    def _known_result(self, change: RouteChange) -> ChangeResult | None:
         decision = self.fold.decisions.get(change.change_id)
         if decision is None:
             return None
@@ -221,8 +223,8 @@
             return Success(Accepted(decision.offset))
         return Failure(
             Rejected(
-                REASONS[decision.verdict],
-                DETAILS[decision.verdict],
+                REJECT_REASONS[decision.verdict],
+                REJECT_DETAILS[decision.verdict],
                 decision.winner,
             )
         )
--- a/agatetack/config/tail.py
+++ b/agatetack/config/tail.py
@@ -53,9 +53,9 @@
         while True:
             try:
                 if await self.read(self._wait_seconds()):
-                    await self._leave_reads_to_others()
+                    await self._pause_between_reads()
                 else:
-                    await self._pause()
+                    await self._pause_before_retry()
             except LogTruncated as truncated:
                 self.state.report_problem(
                     Problem.LOG_TRUNCATED,
@@ -67,10 +67,10 @@
                     self.state.report_problem(
                         Problem.NO_SNAPSHOT, "the log has no newer snapshot."
                     )
-                    await self._pause()
+                    await self._pause_before_retry()
             except LogError as error:
                 self._begin_outage(error)
-                await self._pause()
+                await self._pause_before_retry()
 
     def _wait_seconds(self) -> float:
         # Before this host is ready, a read has to return at once if there is
@@ -155,7 +155,7 @@
             self.state.log.info("can read the log again.")
         self.outage = False
 
-    async def _leave_reads_to_others(self) -> None:
+    async def _pause_between_reads(self) -> None:
         # In a large fleet each host reads less often; between its reads it
         # receives the records that its peers have read.
         interval = self.exchange.fleet_size() / self.config.log_reads_per_second
@@ -166,6 +166,6 @@
         if pause > 0:
             await trio.sleep(pause * random.uniform(0.75, 1.25))
 
-    async def _pause(self) -> None:
+    async def _pause_before_retry(self) -> None:
         # Jitter, so that hosts that failed together do not retry together.
         await trio.sleep(self.settings.retry_seconds * random.uniform(0.3, 1))
