--- a/agatetack/config/test_fold.py
+++ b/agatetack/config/test_fold.py
@@ -93,12 +93,12 @@
 
 
 @pytest.fixture
-def few_remembered(monkeypatch):
+def few_remembered_records(monkeypatch):
     monkeypatch.setattr(fold_module, "REMEMBERED_RECORDS", REMEMBERED)
 
 
 @pytest.mark.parametrize(("payloads", "verdicts"), FOLDS)
-def test_verdicts(payloads, verdicts, few_remembered):
+def test_verdicts(payloads, verdicts, few_remembered_records):
     assert fold_all(payloads) == verdicts
 
 
@@ -111,7 +111,7 @@
     assert fold.version == 0
 
 
-def test_deleted_routes_are_forgotten_in_time(few_remembered):
+def test_deleted_routes_are_forgotten_in_time(few_remembered_records):
     fold = Fold()
     payloads = [put(), put("two", expected=0, path=None), *[b""] * REMEMBERED]
     for offset, payload in enumerate(payloads):
@@ -133,13 +133,13 @@
 
 @pytest.mark.parametrize(("payloads", "verdicts"), FOLDS)
 async def test_snapshot_determines_the_state(
-    payloads, verdicts, few_remembered
+    payloads, verdicts, few_remembered_records
 ):
     fold = Fold()
     for offset, payload in enumerate(payloads):
         fold.apply(offset, payload)
     copy = await copy_by_chunks(fold, lambda chunk: -chunk.index)
-    assert vars_of(copy) == vars_of(fold)
+    assert fold_state(copy) == fold_state(fold)
 
 
 @dataclasses.dataclass
@@ -163,8 +163,8 @@
         self.patch = pytest.MonkeyPatch()
         self.patch.setattr(fold_module, "REMEMBERED_RECORDS", REMEMBERED)
         self.log: list[bytes] = []
-        self.judge = Fold()
-        self.expected = [vars_of(self.judge)]
+        self.reference = Fold()
+        self.expected = [fold_state(self.reference)]
         self.written: list[Written] = []
         self.hosts = [new_state() for _ in range(3)]
         self.seen = [NO_VERSION] * 3
@@ -195,10 +195,10 @@
     )
     def change(self, route, path):
         """Append a change by a writer that has read all records."""
-        expected = self.judge.version_of(route)
+        expected = self.reference.version_of(route)
         path = f"/{route}{len(self.log)}" if path else None
         change = make_change(f"c{len(self.written)}", route, expected, path)
-        payload = encode_change(change, self.judge.version)
+        payload = encode_change(change, self.reference.version)
         self.written.append(Written(payload))
         self.land(0, newest=True)
 
@@ -218,10 +218,10 @@
 
     def append(self, payload: bytes) -> Verdict:
         """Append to the log and store the expected state after it."""
-        before = {r.id: r.version for r in self.judge.routes()}
-        step = self.judge.apply(len(self.log), payload)
+        before = {r.id: r.version for r in self.reference.routes()}
+        step = self.reference.apply(len(self.log), payload)
         self.log.append(payload)
-        self.expected.append(vars_of(self.judge))
+        self.expected.append(fold_state(self.reference))
         if step.verdict is Verdict.ACCEPTED:
             current = before.get(step.change.route_id, NO_VERSION)
             assert step.change.expected_version == current
@@ -244,19 +244,19 @@
         self.read(host, first, count)
 
     @rule(
-        giver=strategies.integers(0, 2),
-        taker=strategies.integers(0, 2),
+        sender=strategies.integers(0, 2),
+        receiver=strategies.integers(0, 2),
         reverse=strategies.booleans(),
     )
-    def send_snapshot(self, giver, taker, reverse):
+    def send_snapshot(self, sender, receiver, reverse):
         """Let a host load another host's snapshot, whichever is newer."""
-        fold = self.hosts[giver].fold
+        fold = self.hosts[sender].fold
         if fold.version == NO_VERSION:
             return
         sign = -1 if reverse else 1
         copy = trio.run(copy_by_chunks, fold, lambda c: sign * c.index)
-        newer = copy.version > self.hosts[taker].fold.version
-        assert self.hosts[taker].load(copy, Source.PEER) is newer
+        newer = copy.version > self.hosts[receiver].fold.version
+        assert self.hosts[receiver].load(copy, Source.PEER) is newer
 
     @rule(host=strategies.integers(0, 2))
     def restart(self, host):
@@ -268,7 +268,7 @@
     def states_follow_from_the_log(self):
         """Compare each host with the expected state after the same records."""
         for index, host in enumerate(self.hosts):
-            assert vars_of(host.fold) == self.expected[host.fold.version + 1]
+            assert fold_state(host.fold) == self.expected[host.fold.version + 1]
             assert host.fold.version >= self.seen[index]
             self.seen[index] = host.fold.version
             table = RouteTable(host.fold.routes())
@@ -286,7 +286,7 @@
     return state
 
 
-def vars_of(fold: Fold) -> dict:
+def fold_state(fold: Fold) -> dict:
     """Return a copy of a fold's state with the order of remembered entries."""
     copy = {name: value for name, value in vars(fold).items()}
     copy["slots"] = dict(fold.slots)
--- a/agatetack/config/test_spread.py
+++ b/agatetack/config/test_spread.py
@@ -138,7 +138,9 @@
     await trio.sleep(IN_FORCE_SECONDS)
 
 
-async def keep_for(fleet: Fleet, seconds: float, kept_seconds: float) -> None:
+async def advance_log_time(
+    fleet: Fleet, seconds: float, kept_seconds: float
+) -> None:
     """Advance the time of a log that keeps records for `kept_seconds`."""
     service = fleet.service
     for _ in range(round(seconds)):
@@ -165,10 +167,10 @@
     log = {"retention_seconds": 20, "max_record_bytes": 400}
     async with open_fleet(3, platform={"log": log}) as fleet:
         await fill(fleet)
-        await keep_for(fleet, 30, 20)
+        await advance_log_time(fleet, 30, 20)
         fleet.service.faults.next_appends = list(faults)
         before = snapshots_written(fleet)
-        await keep_for(fleet, 100, 20)
+        await advance_log_time(fleet, 100, 20)
         written = snapshots_written(fleet) - before
         # One is due every 8 to 12 s; there would be more if each host wrote it.
         assert 7 <= written <= 16
@@ -380,7 +382,7 @@
     log = {"retention_seconds": 40}
     async with open_fleet(3, platform={"log": log}) as fleet:
         await fill(fleet)
-        fleet.nursery.start_soon(keep_for, fleet, 110, 40)
+        fleet.nursery.start_soon(advance_log_time, fleet, 110, 40)
         number = 0
         end = trio.current_time() + 100
         while trio.current_time() < end:
@@ -405,7 +407,7 @@
     async with open_fleet(3, platform={"log": log}) as fleet:
         await fill(fleet)
         # Lets the hosts write the last records that contain the whole state.
-        await keep_for(fleet, 30, 40)
+        await advance_log_time(fleet, 30, 40)
         for name in list(fleet.hosts):
             fleet.stop(name)
         newest = max(
@@ -414,13 +416,13 @@
             for record in records
         )
         age = fleet.service.clock.wall_time - newest
-        await keep_for(fleet, 40 - left_seconds - age, 40)
+        await advance_log_time(fleet, 40 - left_seconds - age, 40)
         for number in range(3):
             await fleet.start(f"next-{number}")
-        await keep_for(fleet, 4, 40)
+        await advance_log_time(fleet, 4, 40)
         for name in list(fleet.hosts):
             fleet.stop(name)
-        await keep_for(fleet, left_seconds, 40)
+        await advance_log_time(fleet, left_seconds, 40)
         await fleet.start("last")
         await trio.sleep(IN_FORCE_SECONDS)
         fleet.assert_agreed()
--- a/agatetack/config/test_store.py
+++ b/agatetack/config/test_store.py
@@ -188,7 +188,9 @@
     return results
 
 
-def assert_true(results: dict[str, ChangeResult], fleet: Fleet) -> None:
+def assert_results_match(
+    results: dict[str, ChangeResult], fleet: Fleet
+) -> None:
     """Check that the results returned to the writers match the decisions."""
     fold = fleet.hosts["host-0"].fold
     accepted = [
@@ -199,11 +201,11 @@
     ]
     assert len(accepted) <= 1
     for change_id, result in results.items():
-        told = result.value_or(None) or result.failure()
-        if isinstance(told, Accepted):
+        outcome = result.value_or(None) or result.failure()
+        if isinstance(outcome, Accepted):
             assert accepted == [change_id]
-            assert fold.decisions[change_id].offset == told.version
-        elif isinstance(told, Rejected):
+            assert fold.decisions[change_id].offset == outcome.version
+        elif isinstance(outcome, Rejected):
             assert change_id not in accepted
 
 
@@ -219,10 +221,10 @@
             await inject(fault, fleet)
         results = await race(fleet, faults)
         await trio.sleep(FAULT_SECONDS)
-        assert_true(results, fleet)
+        assert_results_match(results, fleet)
         end_faults(fleet)
         await trio.sleep(IN_FORCE_SECONDS)
-        assert_true(results, fleet)
+        assert_results_match(results, fleet)
         fleet.assert_agreed()
 
 
