--- a/agatetack/attempts/probing_admission.py
+++ b/agatetack/attempts/probing_admission.py
@@ -78,11 +78,14 @@
     """
 
     def __init__(
-        self, inner: AdmissionController, probe: PreSendProber, metrics: Metrics
+        self,
+        inner: AdmissionController,
+        prober: PreSendProber,
+        metrics: Metrics,
     ):
         """Probe the targets of the permits that `inner` grants."""
         self.inner = inner
-        self.probe = probe
+        self.prober = prober
         self.probes = metrics.counter(
             "agatetack_looks_total",
             "Targets asked for their load before a request, by what they said.",
@@ -118,13 +121,13 @@
         if _is_fresh(target, now):
             slow = target.report.slowness > MAX_SLOWNESS_RATIO
             return Verdict.SLOW if slow else Verdict.ABLE
-        if not self.probe.take(target):
+        if not self.prober.take(target):
             return Verdict.ABLE
         known_cold = target.is_warming_up(now)
         left = max(0.0, wanted.deadline - now)
         seconds = min(PROBE_TIMEOUT_SECONDS, MAX_PROBE_TIME_RATIO * left)
         try:
-            report = await self.probe.probe(target, Deadline(now + seconds))
+            report = await self.prober.probe(target, Deadline(now + seconds))
         except BaseException:
             permit.release(AttemptResult.CANCELLED)
             raise
