--- a/agatetack/keyed/__init__.py
+++ b/agatetack/keyed/__init__.py
@@ -1,1 +1,1 @@
-"""Follow the keyed topics of a metadata store."""
+"""Replicate the keyed topics of the metadata store to each host."""
--- a/agatetack/keyed/content.py
+++ b/agatetack/keyed/content.py
@@ -1,4 +1,4 @@
-"""Keep what a host knows of a topic, and what holds of it after a loss."""
+"""Keep a host's copy of a topic and the records that outlive a store loss."""
 
 import dataclasses
 import enum
@@ -13,13 +13,13 @@
 from agatetack.keyed.topic import KeyedRecord, TopicPage, TopicPosition
 
 MOST_NAMED_KEYS = 20
-"""Keys that one line of the log names; others are counted."""
+"""Maximum keys listed in one log entry; the others are only counted."""
 
 log = DecisionLog("keyed")
 
 
 class CarriedEnd(enum.Enum):
-    """How a record that was carried over ended."""
+    """Why a record is no longer carried over."""
 
     REPLACED = "replaced"
     EXPIRED = "expired"
@@ -27,11 +27,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class CarriedRecord:
-    """A record that the store has lost, or has an older one of.
+    """A valid record that the store lost or has only an older version of.
 
     Attributes:
         record: The record; without a value, its key was removed.
-        until: When it holds no more, whatever the store has.
+        until: When it stops being valid, whatever the store has.
     """
 
     record: KeyedRecord
@@ -39,15 +39,15 @@
 
 
 class CarriedRecords:
-    """The records of one topic that hold beside those that the store has.
+    """The valid records of one topic that the store does not have.
 
     Attributes:
         records: The records, by key.
-        changed: Set, and replaced, when records were added.
+        changed: Set and replaced after each new selection of records.
     """
 
     def __init__(self, reader: TopicReader):
-        """Ask `reader` which records hold."""
+        """Let `reader` decide which records are valid."""
         self.reader = reader
         self.records: dict[str, CarriedRecord] = {}
         self.changed = trio.Event()
@@ -57,11 +57,11 @@
         candidates: Iterable[KeyedRecord],
         stored: Mapping[str, KeyedRecord],
     ) -> None:
-        """Carry those of `candidates` that hold, and no others.
+        """Carry over exactly those of `candidates` that are still valid.
 
         Args:
             candidates: Records of earlier generations.
-            stored: What the store has now, by key.
+            stored: The store's current records, by key.
         """
         chosen: dict[str, CarriedRecord] = {}
         for record in candidates:
@@ -70,7 +70,7 @@
                 continue
             before = self.records.get(record.key)
             if before is not None and before.record == record:
-                # How long it holds counts from the first time.
+                # The validity period counts from when it was first carried.
                 if self._holds(record, stored.get(record.key)):
                     chosen[record.key] = before
                 continue
@@ -87,13 +87,13 @@
     def laid_over(
         self, stored: Mapping[str, KeyedRecord]
     ) -> Sequence[KeyedRecord]:
-        """Return what holds of all keys: the store's records or these."""
+        """Return the valid records of all keys: the store's and these."""
         records = {key: each.record for key, each in self.records.items()}
         merged = {**stored, **records}
         return [each for each in merged.values() if each.value is not None]
 
     def lost(self, stored: Mapping[str, KeyedRecord]) -> Sequence[KeyedRecord]:
-        """Return the records of which the store has not even an older one."""
+        """Return the records whose keys are missing from the store."""
         return [
             each.record
             for key, each in self.records.items()
@@ -101,9 +101,9 @@
         ]
 
     def outlasts(self, record: KeyedRecord) -> bool:
-        """Return whether one holds against `record`, which was just written.
+        """Return whether the carried record prevails over the new `record`.
 
-        One that does not is carried no more.
+        If it does not, it is dropped.
         """
         carried = self.records.get(record.key)
         if carried is None:
@@ -114,7 +114,7 @@
         return False
 
     def expire(self) -> Sequence[str]:
-        """Give up the records that hold no more; return their keys."""
+        """Drop the records that are no longer valid; return their keys."""
         now = trio.current_time()
         over = [key for key, each in self.records.items() if each.until <= now]
         for key in over:
@@ -122,27 +122,27 @@
         return over
 
     async def until_due(self) -> None:
-        """Wait until some record may hold no more."""
+        """Wait until a record may have expired."""
         times = (each.until for each in self.records.values())
         with trio.move_on_at(min(times, default=math.inf)):
             await self.changed.wait()
 
 
 class TopicContent:
-    """What one host knows of a topic, and what holds of it.
+    """One host's copy of a topic, with the records that it carries over.
 
     Attributes:
-        name: What the topic is called in logs.
-        position: How far the topic is read, or None before the first read.
-        known: The newest record of each key in the store, removals since
-            `known_from` included.
+        name: The topic's name in logs.
+        position: The read position, or None before the first read.
+        known: The newest record of each key in the store, including removals
+            since `known_from`.
         known_from: The offset from which on removals are known too.
-        carried: Records of earlier generations that still hold.
-        changes: How often what holds has changed.
+        carried: Records of earlier generations that are still valid.
+        changes: Number of changes to the valid records.
     """
 
     def __init__(self, name: str, reader: TopicReader):
-        """Start with nothing read; ask `reader` which records hold."""
+        """Start empty; let `reader` decide which records are valid."""
         self.name = name
         self.position: TopicPosition | None = None
         self.known: dict[str, KeyedRecord] = {}
@@ -152,17 +152,17 @@
 
     @property
     def next_offset(self) -> LogOffset | None:
-        """Return the offset to read next, or None before the first read."""
+        """Return the next offset to read, or None before the first read."""
         return None if self.position is None else self.position.offset
 
     def is_behind(self, position: TopicPosition) -> bool:
-        """Return whether somebody who has read up to there knows more."""
+        """Return whether this copy lacks records up to `position`."""
         return self.position is None or self.position < position
 
     def records_since(
         self, first: TopicPosition | None
     ) -> tuple[TopicPage, bool]:
-        """Return what followed `first`, or all keys, and whether it is all."""
+        """Return the records from `first` on, or all, and whether it is all."""
         whole = (
             first is None
             or first.generation != self.position.generation
@@ -183,15 +183,15 @@
         whole: bool,
         carried: Sequence[KeyedRecord] = (),
     ) -> Sequence[KeyedRecord]:
-        """Take records of the store; return those that hold.
+        """Merge records of the store; return those that are valid.
 
         Args:
             page: The records.
-            whole: Whether these are all keys, and not only what follows.
-            carried: Records of earlier generations that hold for a peer.
+            whole: Whether these are all keys and not only later records.
+            carried: Records of earlier generations that a peer carries over.
 
         Returns:
-            What holds of all keys, or of `page` if it is not whole.
+            The valid records of all keys, or of `page` if it is not whole.
         """
         self.changes += 1
         if whole:
@@ -205,7 +205,7 @@
     def _merge_all(
         self, page: TopicPage, carried: Sequence[KeyedRecord]
     ) -> Sequence[KeyedRecord]:
-        """Take all keys that the store has; return what holds of all."""
+        """Replace all keys by those in the store; return all valid records."""
         before, known = self.position, self.known
         self.known = {record.key: record for record in page.records}
         self.known_from = page.end
@@ -214,7 +214,7 @@
         if lost:
             candidates = {**known, **candidates}
         else:
-            # That a key was removed may matter once the store has lost it.
+            # Keep removals: the store may later lose a removal, too.
             removed_at = LogOffset(max(0, page.end - 1))
             for key in known.keys() - self.known.keys():
                 self.known[key] = KeyedRecord(key, None, removed_at)
@@ -224,8 +224,8 @@
         return self.holding()
 
     def _merge_new(self, page: TopicPage) -> Sequence[KeyedRecord]:
-        """Take records that follow; return those that hold."""
-        # A peer may have brought some of them already.
+        """Add records that follow; return those that are valid."""
+        # Some of them may have come from a peer already.
         records = [r for r in page.records if r.offset >= self.position.offset]
         self.known.update((record.key, record) for record in records)
         return [r for r in records if not self.carried.outlasts(r)]
@@ -256,20 +256,20 @@
         )
 
     def carry(self, carried: Sequence[KeyedRecord]) -> Sequence[KeyedRecord]:
-        """Carry what holds for a peer, too; return what holds of all keys."""
+        """Add records that a peer carries over; return all valid records."""
         candidates = [each.record for each in self.carried.records.values()]
         self.carried.choose([*candidates, *carried], self.known)
         self.changes += 1
         return self.holding()
 
     def holding(self) -> Sequence[KeyedRecord]:
-        """Return what holds of all keys."""
+        """Return the valid records of all keys."""
         return self.carried.laid_over(self.known)
 
     def expire(self) -> Sequence[KeyedRecord]:
-        """Give up carried records that hold no more; return what holds instead.
+        """Drop expired carried records; return the records that replace them.
 
-        That is what the store has of their keys, or their removal.
+        These are the store's records for their keys, or removals.
         """
         keys = self.carried.expire()
         if keys:
--- a/agatetack/keyed/follower.py
+++ b/agatetack/keyed/follower.py
@@ -1,4 +1,4 @@
-"""Keep up with a keyed topic through outages, truncation and lost records."""
+"""Follow a keyed topic through outages, truncation and lost records."""
 
 import math
 import random
@@ -29,25 +29,26 @@
 from agatetack.settings.model import Settings
 
 LOOK_SECONDS = 0.1
-"""How often a host that leaves a topic to others looks whether it may."""
+"""How often a host that relies on other readers checks whether it still can."""
 
 FIRST_READERS = 4
-"""Readers that read all keys of a new generation at once; the others, and all
-other hosts, are told by them."""
+"""Number of readers that read all keys of a new generation at once. They send
+the records to the other readers and to all other hosts."""
 
 TOLD_SECONDS = 1.0
-"""How long those wait to be told until they read all keys themselves."""
+"""How long the other hosts wait for these records before they read all keys
+themselves."""
 
 MOST_TOLD_SPREAD = 1.5
-"""By how much that time differs between hosts, so that hundreds of them that
-nobody tells do not read at once."""
+"""Maximum factor on that time. Hosts use different factors, so that hundreds of
+hosts that receive nothing do not read at once."""
 
 MOST_BACKOFFS = 2
-"""How often the pause after failed calls doubles."""
+"""Maximum number of doublings of the pause after failed calls."""
 
 FIRST_PAUSE_SECONDS = TOLD_SECONDS / 2
-"""Mean pause, at most, of hosts that read all keys for the others. They have to
-be back before the others give up waiting to be told."""
+"""Maximum mean pause of hosts that read all keys for the others. They have to
+retry before the others stop waiting for their records."""
 
 log = DecisionLog("keyed")
 
@@ -55,15 +56,15 @@
 def _tell_nobody(
     follower: "TopicFollower", before: TopicPosition | None
 ) -> None:
-    """Do nothing; in place until peers are told."""
+    """Do nothing; the default until the follower reports to peers."""
 
 
 class ReadCounters:
-    """Counts the reads of all topics of one host.
+    """Metrics of the reads of all topics of one host.
 
     Attributes:
-        reads: By topic and result.
-        age: How long ago each topic was read.
+        reads: Reads by topic and result.
+        age: Time since each topic was last read.
     """
 
     def __init__(self, metrics: Metrics):
@@ -87,25 +88,26 @@
 
 
 class TopicFollower:
-    """Reads one topic for ever and hands its records to a reader.
+    """Reads one topic continuously and passes its records to a reader.
 
-    A read waits at the store until there is something. An answer that never
-    comes is given up at a deadline; records are never skipped, as the next
-    read starts where the last one ended, and all is read anew where that is
-    no longer kept, or where the store has lost records: a position is one of
-    a generation of the store. What the store lost and still holds is carried
-    over until it is written again.
+    A read is a long poll that waits at the store for the next record and is
+    aborted at a deadline. No record is skipped: each read starts where the
+    last one ended. If the store no longer keeps that offset or has lost
+    records, all keys are read again, as a position is valid only in one
+    generation of the store. Records that the store lost but that are still
+    valid are carried over until they are written again.
 
     Attributes:
-        content: What is known of the topic, and how far it is read.
-        truncated: Whether what follows there is no longer kept.
+        content: The known records of the topic, and the read position.
+        truncated: Whether the store no longer keeps the records that follow.
         generations: The generations of the store.
-        readers: Tells whether this host reads, or leaves it to others.
-        advanced: Called with this follower when it has read on, and with its
-            position before.
+        readers: Decides whether this host reads or relies on other hosts.
+        advanced: Called after the read position has advanced, with this
+            follower and its previous position.
         reachable: Whether the last call was answered.
-        in_touch_at: When the store was regained last.
-        told_spread: By how much this host waits longer than others to be told.
+        in_touch_at: When the store last became reachable again.
+        told_spread: This host's factor on the time that it waits for others'
+            records.
         read_at: When the last call was answered, or None.
     """
 
@@ -124,11 +126,11 @@
         Args:
             settings: The host's settings.
             name: The topic's name in logs and counters.
-            topic: Where to read.
-            reader: Takes the records.
-            counters: Where reads are counted.
+            topic: The topic to read.
+            reader: Processes the records.
+            counters: Metrics of the reads.
             generations: The generations of the store.
-            rng: Draws pauses.
+            rng: Randomizes pauses.
         """
         self.limits = settings.platform.store
         self.name = name
@@ -153,13 +155,13 @@
 
     @property
     def is_outdated(self) -> bool:
-        """Return whether the store has lost records since this was read."""
+        """Return whether the store lost records after the last read."""
         if self.content.position is None:
             return False
         return self.content.position.generation < self.generations.newest
 
     def _end_outdated_read(self) -> None:
-        """Give up a read that waits for what follows a lost position."""
+        """Cancel a read that waits at a position of an older generation."""
         if self.is_outdated:
             self.reading.cancel()
 
@@ -182,7 +184,7 @@
                     topic=self.name,
                     offset=self.content.next_offset,
                 )
-                # Of another generation it can be told by peers, too.
+                # The records of a new generation may also come from peers.
                 self.truncated = not self.is_outdated
             except TopicRestored:
                 self._count("restored")
@@ -192,12 +194,12 @@
                 await trio.sleep(self._pause())
 
     async def _until_needed(self) -> None:
-        """Wait while other hosts read for this one, which knows all so far."""
+        """Wait while this host can rely on reads of other hosts."""
         while self.leaves_it_to_others or self._may_be_told():
             await trio.sleep(LOOK_SECONDS)
 
     def _may_be_told(self) -> bool:
-        """Return whether others may soon tell all keys of a new generation."""
+        """Return whether peers may soon send all keys of a new generation."""
         if not self.is_outdated or self.truncated:
             return False
         if self._reads_first():
@@ -206,13 +208,13 @@
         return waited < TOLD_SECONDS * self.told_spread
 
     def _reads_first(self) -> bool:
-        """Return whether this host is to read all keys for the others."""
+        """Return whether this host has to read all keys for the others."""
         place = self.readers.place(self.name)
         return place is not None and place < FIRST_READERS
 
     @property
     def leaves_it_to_others(self) -> bool:
-        """Return whether this host knows the topic and need not read it."""
+        """Return whether this host has the topic and can rely on others."""
         known = self.reachable and self.content.position is not None
         if not known or self.truncated:
             return False
@@ -241,8 +243,8 @@
             )
             self._regained()
         if page.records:
-            # What follows closely comes with the next read, so that a burst
-            # of changes costs one call and not one for each.
+            # Batch records that follow shortly into the next read, so that a
+            # burst of changes does not cost one call per change.
             await trio.sleep(self.limits.batch_seconds)
 
     def _regained(self) -> None:
@@ -251,8 +253,8 @@
         self.reader.in_touch()
 
     async def _read_on(self, first: LogOffset) -> TopicPage:
-        # After a failure the first answer is wanted at once, to know that
-        # the store is back.
+        # After a failure, do not wait for a record: the first answer shows that
+        # the store is reachable again.
         wait = self.limits.poll_seconds if self.reachable else 0.0
         wait_until = Deadline(trio.current_time() + wait)
         return await self.topic.read(first, wait_until, self._deadline(wait))
@@ -264,16 +266,16 @@
         sound: bool,
         carried: Sequence[KeyedRecord] = (),
     ) -> None:
-        """Take what a peer has read, and read on from there.
+        """Process records that a peer has read, and continue after them.
 
-        The read under way is given up: it should have brought the records,
-        so its connection may have gone silent.
+        The current read is cancelled: it should have returned these records,
+        so its connection may be stalled.
 
         Args:
-            page: What the peer has read.
-            whole: Whether these are all keys, and not only what follows.
-            sound: Whether the store has been there for the peer lately.
-            carried: Records of earlier generations that hold for the peer.
+            page: The records that the peer has read.
+            whole: Whether these are all keys and not only later records.
+            sound: Whether the peer could reach the store all along lately.
+            carried: Records of earlier generations that the peer carries.
         """
         if not self.content.is_behind(page.position) or not self._may_be_of(
             page
@@ -296,17 +298,17 @@
         self.reading.cancel()
 
     def _may_be_of(self, page: TopicPage) -> bool:
-        """Return whether the store has been in the generation of `page`."""
+        """Return whether `page` is not newer than the known generation."""
         return page.generation <= self.generations.newest
 
     def _follows(self, page: TopicPage) -> bool:
-        """Return whether `page` is of the generation that is read here."""
+        """Return whether `page` is of the generation of the read position."""
         if self.content.position is None:
             return False
         return page.generation == self.content.position.generation
 
     def take_carried(self, carried: Sequence[KeyedRecord]) -> None:
-        """Take what holds for a peer though the store has lost it."""
+        """Process valid records that a peer carries over."""
         records = self.content.carry(carried)
         log.note(
             "carried-from-peer",
@@ -324,14 +326,16 @@
         in_touch: bool,
         carried: Sequence[KeyedRecord] = (),
     ) -> None:
-        """Take what another host has read in place of a first read.
+        """Use the records that another host has read in place of a first read.
 
         Args:
             page: All keys.
-            in_touch: Whether the store is there for that host. If not, this
-                one serves with what may be outdated, rather than refuse all
-                callers until the store is back, and reads for itself.
-            carried: Records of earlier generations that hold for that host.
+            in_touch: Whether that host can reach the store. If not, this host
+                reads the store itself and until then serves with records that
+                may be outdated, rather than refuse all callers until the
+                store is back.
+            carried: Records of earlier generations that that host carries
+                over.
         """
         if self.content.position is not None or not self._may_be_of(page):
             return
@@ -351,16 +355,16 @@
 
     @property
     def sound(self) -> bool:
-        """Return whether the store has been there for a while for this host.
+        """Return whether the store has been reachable for a while.
 
-        What it removed before may have been removed for its own absence.
+        Earlier removals may be a result of the store's own outage.
         """
         quiet = trio.current_time() - self.in_touch_at
         return self.reachable and quiet > self.limits.doubt_seconds
 
     @property
     def vouches(self) -> bool:
-        """Return whether this host itself reads and is in touch."""
+        """Return whether this host reads itself and can reach the store."""
         if self.is_outdated:
             return False
         return self.reachable and not self.leaves_it_to_others
@@ -397,7 +401,7 @@
         self.reader.take_lost(lost, self.readers.place(self.name))
 
     async def _end_carried(self) -> None:
-        """Give up records that hold no more, until cancelled."""
+        """Drop expired carried records until cancelled."""
         while True:
             await self.content.carried.until_due()
             records = self.content.expire()
@@ -448,7 +452,7 @@
         return trio.current_time() - self.read_at
 
     def show(self) -> None:
-        """Bring the gauge up to date."""
+        """Update the gauge."""
         if self.read_at is not None:
             self.counters.age.set({"topic": self.name}, self.age_seconds())
 
@@ -459,7 +463,7 @@
     def _pause(self) -> float:
         doublings = min(self.failures - 1, MOST_BACKOFFS)
         if self.content.position is None:
-            # A host that knows nothing refuses all callers until it does.
+            # A host without any records refuses all callers, so retry soon.
             doublings = 0
         pause = self.limits.retry_seconds * 2**doublings
         if self._reads_first():
--- a/agatetack/keyed/generations.py
+++ b/agatetack/keyed/generations.py
@@ -1,8 +1,8 @@
-"""Learn in which generation the store is: what it lost begins a new one.
+"""Track the store's generation, which rises whenever the store lost records.
 
-A store that comes back from an older copy has lost what it acknowledged since.
-Offsets are then given out again, for other records, so that a position means
-something only together with the generation that it was read in.
+A store that is restored from an older copy has lost the records that it
+acknowledged after the copy was made. It then assigns the same offsets again to
+other records, so an offset is meaningful only together with its generation.
 """
 
 import dataclasses
@@ -16,13 +16,13 @@
 from agatetack.metrics import Metrics
 
 NOT_NAMED = StoreGeneration(-1)
-"""The generation of a store that has named none; before all others."""
+"""The generation while the store has reported none; sorts before all others."""
 
 MAX_GENERATION = 10**12
-"""Highest generation that is believed."""
+"""Highest generation that is accepted."""
 
 MAX_TEXT_BYTES = 13
-"""Longest text that is read as a generation."""
+"""Longest header value that is parsed as a generation."""
 
 log = DecisionLog("keyed")
 
@@ -36,7 +36,7 @@
 
 
 class GenerationProblem(enum.Enum):
-    """Why a generation that somebody named is not believed."""
+    """Why a reported generation was rejected."""
 
     EMPTY = "empty"
     REPEATED = "repeated"
@@ -48,11 +48,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ReadGeneration:
-    """What one reply says of the store's generation.
+    """The generation that one reply of the store reports.
 
     Attributes:
-        generation: The generation; None if the reply names none.
-        problem: Why what it names is not believed, or None.
+        generation: The generation; None if the reply has no valid one.
+        problem: Why the reported value was rejected, or None.
     """
 
     generation: StoreGeneration | None = None
@@ -60,11 +60,11 @@
 
 
 def read_generation(text: bytes | None) -> ReadGeneration:
-    """Return what the value of a reply's header field says.
+    """Parse the generation header field of a reply.
 
     Args:
-        text: The value, those of repeated fields joined by commas; None if
-            there is no such field.
+        text: The value, with repeated fields joined by commas; None if the
+            field is absent.
     """
     if text is None:
         return ReadGeneration()
@@ -83,16 +83,16 @@
 
 
 class StoreGenerations:
-    """The generation that the store is in, as far as this host has heard.
+    """The newest generation of the store that this host knows of.
 
     Attributes:
-        newest: The last generation heard of, or `NOT_NAMED`.
-        learned_at: When, or None while there is none.
+        newest: The newest known generation, or `NOT_NAMED`.
+        learned_at: When this host learned of it; None if it knows none.
         watchers: Called after each new generation; must not block or raise.
     """
 
     def __init__(self, metrics: Metrics):
-        """Start with a store that has named none; count in `metrics`."""
+        """Start without a known generation; count in `metrics`."""
         self.newest = NOT_NAMED
         self.learned_at: Deadline | None = None
         self.watchers: list[Callable[[], None]] = []
@@ -115,12 +115,12 @@
         source: GenerationSource,
         origin: str,
     ) -> None:
-        """Take a generation that somebody named, if it is a later one.
+        """Accept a reported generation if it is newer than the known one.
 
         Args:
             generation: The generation.
-            source: How this host learned it.
-            origin: The call or the host that it came from.
+            source: How this host learned of it.
+            origin: The store call or the host that reported it.
         """
         if generation == NOT_NAMED or generation <= self.newest:
             return
@@ -144,7 +144,7 @@
     def refuse(
         self, problem: GenerationProblem, source: GenerationSource, origin: str
     ) -> None:
-        """Count and log a generation that is not believed."""
+        """Count and log a rejected generation."""
         self.refused.inc({"problem": problem.value})
         log.note(
             "store-generation-refused",
@@ -157,14 +157,14 @@
     def of_reply(
         self, read: ReadGeneration, asked_in: StoreGeneration, call: str
     ) -> StoreGeneration:
-        """Take what a reply says; return the generation that it is of.
+        """Process a reply's generation; return the one the reply belongs to.
 
-        A reply that names none, or one that can't be believed, is of the
-        generation that was known when the store was asked.
+        A reply without a valid generation is attributed to the newest
+        generation that was known when the call was sent.
 
         Args:
-            read: What the reply says.
-            asked_in: The newest generation when the store was asked.
+            read: The generation parsed from the reply.
+            asked_in: The newest known generation when the call was sent.
             call: The name of the call.
         """
         if read.problem is not None:
@@ -173,7 +173,7 @@
         if read.generation is None:
             return asked_in
         if read.generation < asked_in:
-            # The store had been in the later one before it was asked.
+            # The store was in the newer generation before the call was sent.
             self.refuse(GenerationProblem.LOWER, GenerationSource.REPLY, call)
             return asked_in
         self.note(read.generation, GenerationSource.REPLY, call)
--- a/agatetack/keyed/messages.py
+++ b/agatetack/keyed/messages.py
@@ -1,8 +1,9 @@
-"""Turn what a follower knows into messages between hosts, and back.
+"""Convert a follower's records to messages between hosts and back.
 
-A store that lost records still has most of what hosts know, and so has one that
-forgot its history. The host that asks names what it holds by hashes; the one
-that answers tells which of these the store has, and sends what is left.
+After the store lost records or its history, it still has most of the records
+that hosts know. To avoid sending those again, the requesting host sends hashes
+of the records that it has. The reply says which of these the store still has,
+and contains only the other records.
 """
 
 from collections.abc import Sequence
@@ -19,7 +20,7 @@
 
 
 class MalformedHolding(ValueError):
-    """A list of hashes, or the answer to one, can't be read."""
+    """A list of record hashes, or the reply to one, is malformed."""
 
 
 def records_since(
@@ -27,15 +28,15 @@
     first: TopicPosition | None,
     held: bytes | None = None,
 ) -> wire.Records:
-    """Return what a follower knows from `first` on, or all keys.
+    """Return a follower's records from `first` on, or those of all keys.
 
     Args:
-        follower: What follows the topic.
-        first: How far the receiver has read, or None.
-        held: Hashes of the records that the receiver holds, or None.
+        follower: The follower of the topic.
+        first: The receiver's read position, or None to get all keys.
+        held: Hashes of the records that the receiver has, or None.
 
     Raises:
-        MalformedHolding: `held` is no list of hashes.
+        MalformedHolding: `held` is not a list of hashes.
     """
     page, whole = follower.content.records_since(first)
     records, bits = page.records, None
@@ -62,14 +63,14 @@
 def page_of(
     records: wire.Records, held: Sequence[KeyedRecord] = ()
 ) -> TopicPage:
-    """Return the page that a message between hosts carries.
+    """Return the page that a message from another host contains.
 
     Args:
         records: The message.
-        held: The records of which hashes were sent, if any.
+        held: The records whose hashes were in the request, if any.
 
     Raises:
-        MalformedHolding: The message is not of `held`.
+        MalformedHolding: The message does not match `held`.
     """
     end = LogOffset(records.end)
     generation = records.generation
@@ -84,7 +85,7 @@
 
 
 def carried_of(records: wire.Records) -> Sequence[KeyedRecord]:
-    """Return the records of earlier generations that a message carries."""
+    """Return the carried-over records of earlier generations in a message."""
     return [_record(each) for each in records.records if each.carried]
 
 
@@ -93,28 +94,28 @@
 
 
 def hash_records(records: Sequence[KeyedRecord]) -> bytes:
-    """Return the hashes of `records`, which all have a value."""
+    """Return the concatenated hashes of `records`, which all have a value."""
     return b"".join(map(_hash, records))
 
 
 def split_held(
     records: Sequence[KeyedRecord], hashes: bytes
 ) -> tuple[bytes, Sequence[KeyedRecord]]:
-    """Return which hashes are of one of `records`, and the other records.
+    """Return which hashes match one of `records`, and the unmatched records.
 
     Args:
         records: Records with a value.
-        hashes: What another host holds.
+        hashes: Hashes of the records that another host has.
 
     Returns:
-        One bit for each hash, the first one the lowest of the first byte; and
-        the records of which no hash was named.
+        One bit per hash, the first in the lowest bit of the first byte; and
+        the records whose hashes are not in the list.
 
     Raises:
-        MalformedHolding: `hashes` has half a hash.
+        MalformedHolding: The length is not a multiple of the hash size.
     """
     if len(hashes) % HASH_BYTES:
-        raise MalformedHolding(f"{len(hashes)} bytes of hashes")
+        raise MalformedHolding(f"{len(hashes)} bytes, not whole hashes")
     by_hash = {_hash(record): record for record in records}
     count = len(hashes) // HASH_BYTES
     bits = 0
@@ -128,21 +129,21 @@
 def join_held(
     held: Sequence[KeyedRecord], bits: bytes, end: LogOffset
 ) -> Sequence[KeyedRecord]:
-    """Return those of `held` that the answering host found in the store.
+    """Return those of `held` that the store still has.
 
     Args:
-        held: The records of which the hashes were sent, in their order.
-        bits: The answer.
-        end: The end of the topic; the records stand before it.
+        held: The records whose hashes were sent, in that order.
+        bits: The bit set from the reply.
+        end: The end of the topic; record offsets are limited to below it.
 
     Raises:
-        MalformedHolding: `bits` is not of these records.
+        MalformedHolding: `bits` does not match the number of records.
     """
     if len(bits) != _bit_bytes(len(held)):
         raise MalformedHolding(f"{len(bits)} bytes for {len(held)} records")
     number = int.from_bytes(bits, "little")
     if number >> len(held):
-        raise MalformedHolding("a record that was not named")
+        raise MalformedHolding("a bit is set beyond the last hash sent")
     last = LogOffset(max(0, end - 1))
     return [
         KeyedRecord(record.key, record.value, min(record.offset, last))
@@ -152,7 +153,7 @@
 
 
 def _bit_bytes(count: int) -> int:
-    """Return how many bytes hold `count` bits."""
+    """Return how many bytes are needed for `count` bits."""
     return (count + 7) // 8
 
 
--- a/agatetack/keyed/reader.py
+++ b/agatetack/keyed/reader.py
@@ -1,4 +1,4 @@
-"""Define who takes a topic's records, and what holds of those that are lost."""
+"""Define the consumers of a topic's records and how they treat lost records."""
 
 import abc
 from collections.abc import Sequence
@@ -8,22 +8,22 @@
 
 
 class TopicReader(abc.ABC):
-    """Whoever takes the records of a topic."""
+    """A consumer of the records of a topic."""
 
     @abc.abstractmethod
     def take_all(self, records: Sequence[KeyedRecord]) -> None:
-        """Take the newest record of every key; other keys are gone."""
+        """Process the newest record of every key; other keys are removed."""
 
     @abc.abstractmethod
     def take_new(self, records: Sequence[KeyedRecord]) -> None:
-        """Take records that follow those taken before."""
+        """Process records that follow those processed before."""
 
     def take_sound(self, records: Sequence[KeyedRecord], whole: bool) -> None:
-        """Take what a host read for which the store was there all the while.
+        """Process records from a host that could reach the store all along.
 
         Args:
             records: The records.
-            whole: Whether these are all keys, and not only what follows.
+            whole: Whether these are all keys and not only later records.
         """
         if whole:
             self.take_all(records)
@@ -33,70 +33,70 @@
     def holds_until(
         self, known: KeyedRecord, found: KeyedRecord | None
     ) -> Deadline | None:
-        """Return until when a record of an earlier generation still holds.
+        """Return until when a record of an earlier generation stays valid.
 
-        A store that lost records has forgotten what it acknowledged, or has an
-        older record in its place, until that is written again.
+        A store that lost records lacks records that it had acknowledged, or
+        has older ones for their keys, until they are written again.
 
         Args:
             known: The record that was read in an earlier generation.
-            found: What the store has under its key now, or None.
+            found: The store's current record for that key, or None.
 
         Returns:
-            The time, infinite until something later is written; None if what
-            the store has holds instead.
+            The time, infinite if the record stays valid until a later one is
+            written; None if the store's record applies instead.
         """
         return None
 
     def take_lost(  # noqa: B027
         self, lost: Sequence[KeyedRecord], place: int | None
     ) -> None:
-        """Note which records hold that the store has lost, after `take_all`.
+        """Receive the valid records that the store lost, after `take_all`.
 
         Args:
             lost: The records.
-            place: This host's place among those that read the topic for all;
-                None if it is none of them.
+            place: This host's rank among the hosts that read the topic for
+                the fleet; None if it is not one of them.
         """
 
     def lost_touch(self) -> None:  # noqa: B027
         """Note that the store can't be read any more."""
 
     def in_touch(self) -> None:  # noqa: B027
-        """Note that the store can be read again; what it has was taken."""
+        """Note that the store is reachable and its records were processed."""
 
 
 class FanOutReader(TopicReader):
-    """Hands all it takes to each of several readers, which pick their keys."""
+    """Passes all records to several readers, which select their keys."""
 
     def __init__(self, *readers: TopicReader):
-        """Hand records to `readers`, in this order."""
+        """Pass records to `readers`, in this order."""
         self.readers = readers
 
     def take_all(self, records: Sequence[KeyedRecord]) -> None:
-        """Take the newest record of every key; other keys are gone."""
+        """Process the newest record of every key; other keys are removed."""
         for reader in self.readers:
             reader.take_all(records)
 
     def take_new(self, records: Sequence[KeyedRecord]) -> None:
-        """Take records that follow those taken before."""
+        """Process records that follow those processed before."""
         for reader in self.readers:
             reader.take_new(records)
 
     def take_sound(self, records: Sequence[KeyedRecord], whole: bool) -> None:
-        """Take what a host read for which the store was there all the while."""
+        """Process records from a host that could reach the store all along."""
         for reader in self.readers:
             reader.take_sound(records, whole)
 
     def holds_until(
         self, known: KeyedRecord, found: KeyedRecord | None
     ) -> Deadline | None:
-        """Return until when the first reader holds to `known`, if any does."""
+        """Return the time given by the first reader that gives one, or None."""
         times = (each.holds_until(known, found) for each in self.readers)
         return next((time for time in times if time is not None), None)
 
     def take_lost(self, lost: Sequence[KeyedRecord], place: int | None) -> None:
-        """Note which records hold that the store has lost."""
+        """Pass on the valid records that the store lost."""
         for reader in self.readers:
             reader.take_lost(lost, place)
 
--- a/agatetack/keyed/readers.py
+++ b/agatetack/keyed/readers.py
@@ -1,10 +1,10 @@
-"""Choose the few hosts of a fleet that read topics for all of it.
+"""Choose the few hosts that read a topic from the store for the whole fleet.
 
-Every read of the store is paid for. A host that reads tells its peers how far
-it is, so that the others need not: they ask a peer when they are behind, and
-read for themselves when no reader has told them anything for a while. In a
-fleet too large for links with all, the leaders of groups read, or pass on to
-their groups what a leader that reads has told them.
+Every read of the store costs money. A reader reports its read position to its
+peers, so the other hosts need not read: they fetch records from a peer when
+they are behind, and read the store themselves when no reader has reported for
+a while. In a fleet too large for links between all hosts, group leaders read,
+or forward the reports of the leaders that read to their groups.
 """
 
 import abc
@@ -21,45 +21,46 @@
 from agatetack.settings.model import Settings
 
 LEAST_READERS = 12
-"""Hosts at least that read a topic for the fleet.
+"""Minimum number of hosts that read a topic for the fleet.
 
-The store may turn away a third of all hosts at once without a word, and hardly
-ever all of these.
+The store may silently refuse a third of all hosts at once, but hardly ever all
+of these.
 """
 
 LEAST_LEADERS = 8
-"""Leaders that read a topic in a fleet too large for links with all. They are
-some of ten or more, and each host that hears none of them reads for itself, so
-that all eight turned away cost calls of the store and no time."""
+"""Number of leaders that read a topic in a fleet too large for links between
+all hosts. There are ten or more leaders, and a host that gets no report from a
+reader reads the store itself. If the store turns away all eight, this costs
+extra store calls but no delay."""
 
 WORD_SECONDS = 0.9
-"""A host reads for itself when no reader told it anything for this time.
+"""A host reads the store itself when no reader has reported for this long.
 
-With a reader's pause after a record (`platform.store.batch_seconds`) a change
-is known everywhere within 1.5 s, also if all readers are lost with it.
+Together with a reader's pause after a record (`platform.store.batch_seconds`),
+this makes a change known everywhere within 1.5 s even if all readers fail.
 """
 
 PASSED_ON_SECONDS = 0.6
-"""Age up to which the leader of a group passes a reader's word on; a word that
-comes every 0.4 s is no older, unless one was late."""
+"""Maximum age of a reader's report that a group leader forwards. Reports come
+every 0.4 s, so the latest one is older only when a report was late."""
 
 DOUBT_SECONDS = 5.0
-"""How long a host reads for itself to which a peer did not give what it told
-of. A large document takes long from a peer whose bytes are bounded, when
-several hosts ask it at once."""
+"""How long a host reads the store itself after a peer failed to deliver the
+records that it had reported. A large document takes long from a peer with a
+limited byte rate when several hosts ask for it at once."""
 
 TRUST_SECONDS = 2.0
-"""How long a host that was told at its start what is in the store waits for
-links with those that read it. They refuse it until its seed has registered it
-and they have read that."""
+"""How long a host that started from a seed's records waits for links to the
+readers. They refuse the links until the seed has registered this host and they
+have read that registration."""
 
 CHOICE_SECONDS = 0.3
-"""How often readers are chosen anew. That one is gone is noticed sooner, as it
-tells nothing any more."""
+"""How often readers are chosen again. A failed reader is noticed sooner,
+because its reports stop."""
 
 
 class ReaderChoice(abc.ABC):
-    """Tells a host whether a topic is its own to read."""
+    """Decides whether this host has to read a topic from the store."""
 
     @abc.abstractmethod
     def must_read(self, topic: str) -> bool:
@@ -67,14 +68,14 @@
 
     @abc.abstractmethod
     def place(self, topic: str) -> int | None:
-        """Return this host's place among the readers of `topic`, from 0.
+        """Return this host's rank among the readers of `topic`, from 0.
 
-        None if it is none of them.
+        None if it is not one of them.
         """
 
 
 class EveryHost(ReaderChoice):
-    """Every host reads every topic."""
+    """Makes every host read every topic."""
 
     def must_read(self, topic: str) -> bool:
         """Return True."""
@@ -90,8 +91,8 @@
     """Whether this host reads a topic.
 
     Attributes:
-        place: Its place among the readers of the fleet, or None.
-        until: When that is worked out anew.
+        place: Its rank among the readers of the fleet, or None.
+        until: When the choice has to be made again.
     """
 
     place: int | None
@@ -99,17 +100,19 @@
 
 
 class FleetReaders(ReaderChoice):
-    """Some hosts of each failure domain read a topic for the fleet.
+    """Lets some hosts of each failure domain read a topic for the fleet.
 
-    All hosts choose alike, by a hash of topic and host over the hosts that
-    are live; where their views differ, more of them read or some are told by
-    nobody and read for themselves.
+    All hosts make the same choice by hashing topic and host over the live
+    hosts. Where their views of the fleet differ, additional hosts read, or
+    some hosts get no reports and read for themselves.
 
     Attributes:
-        heard_at: When a reader last told that it is in touch, by topic.
+        heard_at: When a reader last reported that it can reach the store, by
+            topic.
         chosen: Whether this host is a reader, by topic.
-        doubted_until: Until when this host reads a topic whoever tells.
-        trusted_until: Until when it does not, as it was just told all of it.
+        doubted_until: Until when this host reads a topic despite reports.
+        trusted_until: Until when it does not read, by topic, because it just
+            received all records.
     """
 
     def __init__(self, settings: Settings, exchange: Exchange):
@@ -123,26 +126,26 @@
         self.trusted_until: dict[str, Deadline] = {}
 
     def trust(self, topic: str) -> None:
-        """Leave `topic` to others for a while, whoever reads it."""
+        """Rely on other hosts for `topic` for a while."""
         until = trio.current_time() + TRUST_SECONDS
         self.trusted_until[topic] = Deadline(until)
 
     def heard(self, topic: str, age_seconds: float = 0.0) -> None:
-        """Note that a host which reads `topic` is in touch with the store.
+        """Note that a host that reads `topic` can reach the store.
 
         Args:
             topic: The topic.
-            age_seconds: How long ago that host said so.
+            age_seconds: How long ago that host reported this.
         """
         heard_at = trio.current_time() - max(0.0, age_seconds)
         known_at = self.heard_at.get(topic, -math.inf)
         self.heard_at[topic] = Deadline(max(known_at, heard_at))
 
     def word_age(self, topic: str) -> float | None:
-        """Return how old the word is that this host may pass on, in seconds.
+        """Return the age in seconds of the report that this host may forward.
 
-        None if this host leads no group, or the word is too old to be of use
-        to those that get it.
+        None if this host leads no group, or if the report is too old to be
+        useful to its receivers.
         """
         if not self.exchange.is_leader:
             return None
@@ -150,10 +153,11 @@
         return age if age < PASSED_ON_SECONDS else None
 
     def doubt(self, topic: str) -> None:
-        """Let this host read `topic` itself for a while, whoever tells.
+        """Make this host read `topic` itself for a while despite reports.
 
-        Not one that was just told all there is: peers of a fleet that starts
-        are busy, and each doubt costs reads of the store.
+        This does not apply to a host that just received all records: peers in
+        a fleet that is starting are busy, and falling back to the store costs
+        reads.
         """
         now = trio.current_time()
         if now >= self.trusted_until.get(topic, -math.inf):
@@ -176,7 +180,7 @@
         return self.place(topic) is not None
 
     def place(self, topic: str) -> int | None:
-        """Return this host's place among the readers of `topic`, or None."""
+        """Return this host's rank among the readers of `topic`, or None."""
         now = trio.current_time()
         chosen = self.chosen.get(topic)
         if chosen is None or now >= chosen.until:
@@ -198,7 +202,7 @@
         near = _place(self.own, _best(topic, domains[self.domain], readers))
         if near is None:
             return None
-        # The first readers of all domains come before any second one.
+        # The first reader of each domain ranks before any second one.
         return near * len(domains) + sorted(domains).index(self.domain)
 
 
--- a/agatetack/keyed/seeds.py
+++ b/agatetack/keyed/seeds.py
@@ -1,9 +1,9 @@
-"""Let a host that starts take over what another one has read of the store.
+"""Let a starting host copy the store's records from a running host.
 
-Each call of the store is paid for, and a host that starts would make one for
-each page of each topic. It asks one of a few hosts that its settings name, its
-seeds, and reads for itself when none of them answers soon. A seed also
-registers those that ask it, many of them with one call.
+Each store call costs money, and a starting host would need one for each page of
+each topic. Instead it asks its seeds, a few hosts that its settings name, and
+reads the store itself if none answers soon. A seed also registers the hosts
+that ask it, many of them with one call.
 """
 
 import contextlib
@@ -27,43 +27,43 @@
 from agatetack.thrift_codec import decode, encode
 
 ASK_SECONDS = 0.2
-"""Longest time that a host which starts waits for its seeds. Callers wait as
-long; reading the store takes some 30 ms after it."""
+"""How long a starting host waits for its seeds. Callers wait for the same time;
+reading the store afterwards takes another 30 ms or so."""
 
 NEXT_SEED_SECONDS = 0.06
-"""A seed that has not answered for this long is not waited for alone: it may
-be dark, and the next one is asked beside it."""
+"""When a seed has not answered for this long, the next one is asked as well,
+because the first may be unresponsive."""
 
 RETRY_SECONDS = 0.02
-"""Pause before a seed that refused the connection is asked again: hosts that
-are started together are up within some 100 ms of each other."""
+"""Pause before asking a seed again that refused the connection. Hosts that are
+started together are up within some 100 ms of each other."""
 
 GIVE_SECONDS = 1.0
-"""Longest time for a host that starts to send its request and take the
+"""Maximum time for a starting host to send its request and receive the
 answer."""
 
 POLL_SECONDS = 0.005
-"""How often a seed that starts itself looks whether it has read all."""
+"""How often a seed that is starting checks whether it has read all topics."""
 
 MAX_REQUEST_BYTES = 4096
-"""Longest request; a registration has some 100 bytes."""
+"""Maximum request size; a registration has some 100 bytes."""
 
 MAX_REPLY_BYTES = 64 << 20
-"""Longest answer, compressed or not."""
+"""Maximum answer size, both compressed and decompressed."""
 
 LENGTH_BYTES = 4
-"""Bytes of the length in front of each block."""
+"""Size of the length prefix of each block."""
 
 log = DecisionLog("keyed")
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class TopicState:
-    """What is known of a topic.
+    """The state of a topic for which an answer was encoded.
 
     Attributes:
-        changes: How often that has changed.
-        in_touch: Whether the store is there for whoever reads it.
+        changes: The number of changes to the topic's valid records.
+        in_touch: Whether the topic's follower can reach the store.
     """
 
     changes: int
@@ -71,12 +71,11 @@
 
 
 class SeedServer:
-    """Tells hosts that start what this one has read.
+    """Sends the records that this host has read to starting hosts.
 
     Attributes:
-        content: The answer while topics are as in `content_of`.
-        content_of: For each topic how often it has changed, and whether the
-            store is there.
+        content: The encoded answer, valid while topics match `content_of`.
+        content_of: The state of each topic when `content` was encoded.
     """
 
     def __init__(
@@ -86,7 +85,7 @@
         members: MemberDirectory,
         metrics: Metrics,
     ):
-        """Tell what `followers` have read; register hosts in `members`."""
+        """Send the records of `followers`; register hosts in `members`."""
         self.settings = settings
         self.followers = followers
         self.members = members
@@ -100,7 +99,7 @@
     async def run(
         self, task_status: trio.TaskStatus[int] = trio.TASK_STATUS_IGNORED
     ) -> None:
-        """Answer until cancelled; report the port, 0 if there is none."""
+        """Serve until cancelled; report the port, 0 if there is none."""
         listen = self.settings.peers.seed_listen
         if listen is None:
             task_status.started(0)
@@ -134,7 +133,7 @@
         return all(each.content.position is not None for each in self.followers)
 
     def _reply(self) -> bytes:
-        """Return the answer, which is the same until a topic goes on."""
+        """Return the encoded answer, cached until a topic changes."""
         if not self._knows_all():
             return zlib.compress(encode(wire.StartReply([])))
         known = [
@@ -150,10 +149,10 @@
 
 
 class SeedClient:
-    """Asks the seeds for a start.
+    """Copies the store's records from a seed when this host starts.
 
     Attributes:
-        own: The address at which this host answers others, or None.
+        own: The address at which this host serves starting hosts, or None.
         seeds: The seeds, without this host.
         is_seed: Whether this host is one of them.
     """
@@ -166,7 +165,7 @@
         metrics: Metrics,
         generations: StoreGenerations,
     ):
-        """Let `followers` start from what a seed tells."""
+        """Let `followers` start from a seed's records."""
         self.generations = generations
         self.own = settings.peers.seed_listen
         self.seeds = [s for s in settings.peers.seeds if s != self.own]
@@ -179,14 +178,14 @@
         )
 
     async def start(self, host: str, member: bytes) -> bool:
-        """Take over what a seed has read, unless none answers soon.
+        """Copy a seed's records, unless no seed answers soon.
 
         Args:
             host: The key under which this host registers.
-            member: What it registers.
+            member: The registration.
 
         Returns:
-            Whether a seed answered, which then registers this host.
+            Whether a seed answered; it then registers this host.
         """
         request = wire.StartRequest(host, member, not self.is_seed)
         content = encode(request)
@@ -199,7 +198,7 @@
         return True
 
     async def _ask_all(self, request: bytes) -> wire.StartReply | None:
-        """Return the first whole answer, or None."""
+        """Return the first complete answer, or None."""
         answers, answered = trio.open_memory_channel[wire.StartReply](
             len(self.seeds)
         )
@@ -217,7 +216,7 @@
         return reply
 
     def _in_turn(self) -> Sequence[Endpoint]:
-        """Return the seeds, each host with another one first."""
+        """Return the seeds, rotated so that hosts start with different ones."""
         own = "" if self.own is None else f"{self.own.host}:{self.own.port}"
         first = zlib.crc32(own.encode()) % max(1, len(self.seeds))
         return [*self.seeds[first:], *self.seeds[:first]]
@@ -229,7 +228,7 @@
         request: bytes,
         answers: trio.MemorySendChannel[wire.StartReply],
     ) -> None:
-        """Ask one seed until it answers; a seed asks the others once."""
+        """Ask one seed until it answers; once only if this host is a seed."""
         async with answers:
             await trio.sleep(number * NEXT_SEED_SECONDS)
             while True:
@@ -291,10 +290,10 @@
 
 
 async def _receive_block(stream: trio.abc.Stream, most: int) -> bytes:
-    """Return one block that follows its length.
+    """Return one length-prefixed block.
 
     Raises:
-        ValueError: It is too long, or is cut.
+        ValueError: It is too long, or the connection ended within it.
     """
     head = await _receive_exactly(stream, LENGTH_BYTES)
     length = int.from_bytes(head, "big")
--- a/agatetack/keyed/sharing.py
+++ b/agatetack/keyed/sharing.py
@@ -1,8 +1,8 @@
-"""Tell peers how far topics are read, and ask them for what is missing.
+"""Report read positions to peers, and fetch missing records from them.
 
-A read that waits at the store can go silent, and the store may turn away one
-host while it serves the others. What any host has read reaches all of them
-even so: each tells how far it is, and one that is behind asks.
+A waiting read of the store can stall, and the store may refuse one host while
+it serves others. Records that any host has read still reach all hosts: each
+reports its read position, and a host that is behind fetches the records.
 """
 
 from collections.abc import Sequence
@@ -38,39 +38,43 @@
 from agatetack.thrift_codec import MalformedMessage, decode, encode
 
 TELL_SECONDS = 0.4
-"""How often a reader tells peers how far its topics are read, some 100 bytes
-each; two of these messages may be late until a host reads for itself."""
+"""How often a reader reports the read positions of its topics to peers, in
+messages of some 100 bytes. A host reads the store itself only after two of them
+are late."""
 
 GRACE_SECONDS = 0.3
-"""How long a host that is behind waits for its own read to bring the records,
-which takes a message's time longer than the peer's."""
+"""How long a host that is behind waits for its own read to return the records
+before it asks the peer. The read may end later than the peer's by the time that
+a message takes."""
 
 NEWS_BYTES = 8192
-"""Most bytes of records that are told at once and not only asked for; some 40
-registrations of targets. Asked for, each costs every host a call and its reply,
-and those whose reply is late read the store for themselves."""
+"""Maximum size of records that are sent along with the report of a position;
+some 40 registrations of targets. Larger ones are fetched, which costs every
+host a call and a reply, and hosts whose reply is late read the store
+themselves."""
 
 FETCH_SECONDS = 1.0
-"""Longest time for a peer to answer a host that reads for itself, too."""
+"""Timeout of a fetch from a peer by a host that also reads the store."""
 
 ONLY_FETCH_SECONDS = 0.25
-"""The same for a host that leaves reading to others. After it the host reads
-for itself: a change then is known after half of the 2 s in which it has to be
-in force, also if the peer that told of it is lost with the reply."""
+"""Timeout of a fetch by a host that relies on other readers. After it the host
+reads the store itself. Even if the peer that reported a change fails before it
+replies, the change is then known within half of the 2 s in which it has to be
+in force."""
 
 log = DecisionLog("keyed")
 
 
 class TopicSharing:
-    """What the hosts tell each other of the topics they follow.
+    """Exchanges read positions and records of topics with peers.
 
     Attributes:
-        generations: The generations of the store; words of an earlier one
-            than the newest are not heard.
-        followers: By the topic's name.
-        fetching: Topics that are being asked for.
-        carried_asked_in: In which generation a peer was asked last for records
-            that it carries, by topic.
+        generations: The generations of the store; reports of an earlier one
+            than the newest are ignored.
+        followers: The followers, by the topic's name.
+        fetching: Topics that are being fetched from a peer.
+        carried_asked_in: The generation in which a peer was last asked for
+            its carried-over records, by topic.
     """
 
     def __init__(
@@ -81,7 +85,7 @@
         metrics: Metrics,
         generations: StoreGenerations,
     ):
-        """Tell peers through `exchange` what `followers` have read."""
+        """Share the records of `followers` with peers through `exchange`."""
         self.generations = generations
         self.readers = FleetReaders(settings, exchange)
         self.followers = {each.name: each for each in followers}
@@ -97,7 +101,7 @@
         exchange.serve(Topic.TOPIC_RECORDS, self._give)
 
     async def run(self) -> None:
-        """Tell peers now and then, until cancelled."""
+        """Report read positions periodically until cancelled."""
         async with trio.open_nursery() as self.nursery:
             while True:
                 await trio.sleep(TELL_SECONDS)
@@ -109,8 +113,8 @@
         end = self._end_of(follower)
         if end is None:
             return
-        # Each failure domain has readers of its own, and bytes between them
-        # are paid for.
+        # Other failure domains get only the position: they have readers of
+        # their own, and traffic between domains costs money.
         self._publish([end], Scope.ELSEWHERE)
         news = records_since(follower, before)
         if not news.whole and _count_bytes(news) <= NEWS_BYTES:
@@ -130,7 +134,7 @@
             self.exchange.publish(Topic.TOPIC_RECORDS, payload, scope)
 
     def _end_of(self, follower: TopicFollower) -> wire.TopicEnd | None:
-        """Return how far a topic is read, if this host may vouch for it."""
+        """Return a topic's read position, if this host may report it."""
         position = follower.content.position
         if position is None or follower.is_outdated:
             return None
@@ -162,7 +166,7 @@
                 position.generation, GenerationSource.PEER, sender
             )
             if position.generation != self.generations.newest:
-                # It says nothing of what the store holds now.
+                # It does not describe the current contents of the store.
                 self.metrics.dropped.inc(
                     {"part": "keyed", "reason": "ends-outdated"}
                 )
@@ -178,9 +182,9 @@
                 self.nursery.start_soon(self._fetch, follower, sender, said)
 
     def _lacks(self, follower: TopicFollower, said: wire.TopicEnd) -> bool:
-        """Return whether a peer holds to records that are not known here.
+        """Return whether a peer carries records over and this host has none.
 
-        A host that started after the store lost records has not seen them.
+        A host that started after the store lost records never received them.
         """
         if not said.carried or follower.content.carried.records:
             return False
@@ -193,10 +197,10 @@
         said: wire.TopicEnd,
         position: TopicPosition,
     ) -> None:
-        """Take what a peer has just read, if this host leaves it to others."""
+        """Process records in a peer's report if this host relies on others."""
         if said.news is None or not follower.leaves_it_to_others:
             return
-        # A gap, and what a host that reads is behind, are asked for.
+        # Missing records are fetched, as are those that a reader lacks.
         first = TopicPosition(position.generation, LogOffset(said.first or 0))
         known = follower.content.position
         if known.generation == first.generation and known >= first:
@@ -207,7 +211,7 @@
     async def _fetch(
         self, follower: TopicFollower, peer: HostId, said: wire.TopicEnd
     ) -> None:
-        """Ask `peer` for what it has read, unless the store brings it first."""
+        """Fetch records from `peer`, unless the own read returns them first."""
         try:
             own_read = not follower.leaves_it_to_others
             known = (
@@ -227,12 +231,12 @@
     async def _ask(
         self, follower: TopicFollower, peer: HostId, again: bool = False
     ) -> None:
-        """Ask `peer` for what follows here, or for all keys.
+        """Fetch the records that follow the own position, or those of all keys.
 
         Args:
-            follower: What follows the topic.
+            follower: The follower of the topic.
             peer: The host to ask.
-            again: Whether all keys are wanted, as `peer` carries some.
+            again: Whether to fetch all keys because `peer` carries some over.
         """
         request = self._request(follower, again)
         held = self._held(follower) if again or follower.is_outdated else ()
@@ -271,7 +275,7 @@
         )
 
     def _held(self, follower: TopicFollower) -> Sequence[KeyedRecord]:
-        """Return the records that need not be sent to this host."""
+        """Return the records that a peer need not send to this host."""
         known = follower.content.known.values()
         return [record for record in known if record.value is not None]
 
@@ -298,9 +302,9 @@
             follower.take_carried(carried)
 
     async def _give(self, sender: HostId, payload: bytes) -> bytes | None:
-        """Return what a peer that is behind asks for, or None if not known.
+        """Return the records that a peer requests, or None if there are none.
 
-        A host that has just started has read nothing yet.
+        A host that has just started has not read any records yet.
         """
         try:
             request = decode(wire.FetchRecords, payload)
@@ -312,7 +316,7 @@
             return None
         generation = request.generation
         if generation is None:
-            # A host of an older version means the generation that is read.
+            # Hosts of an older version mean the generation that is read here.
             generation = follower.content.position.generation
         first = _position(generation, request.first)
         try:
@@ -332,6 +336,6 @@
 
 
 def _position(generation: int | None, offset: int) -> TopicPosition:
-    """Return the position that a message names."""
+    """Return the position that a message contains."""
     named = NOT_NAMED if generation is None else StoreGeneration(generation)
     return TopicPosition(named, LogOffset(offset))
--- a/agatetack/keyed/test_follower.py
+++ b/agatetack/keyed/test_follower.py
@@ -1,4 +1,4 @@
-"""Test that a topic is kept up with through outages, cuts and truncation."""
+"""Test that followers stay current through outages, cuts and truncation."""
 
 import pytest
 import trio
@@ -58,7 +58,7 @@
         store.append(NAME, "k1", b"changed")
         await trio.sleep(30)
         assert host.kept.told == ["in touch", "lost"]
-        # What was known stays known.
+        # Records read before the outage are kept.
         assert host.kept.values["k1"] == b"1"
         if compacted:
             store.compact(NAME)
@@ -119,7 +119,7 @@
             TopicHost(store, net.join("h1")),
             TopicHost(store, net.join("h2")),
         )
-        # The read that waits hears nothing of the store any more.
+        # The waiting read no longer receives records that the store appends.
         other.topic.store = silent_store
         one.start(nursery)
         other.start(nursery)
@@ -147,7 +147,7 @@
         host.start(nursery)
         await trio.sleep(outage)
         host.topic.refused = False
-        # The longest pause is a quarter more than the setting.
+        # The longest pause is 25 % longer than the setting.
         pause = SETTINGS.platform.store.retry_seconds
         await trio.sleep(1.3 * pause)
         assert host.kept.values == expected(store)
@@ -189,12 +189,12 @@
                 net.isolate(name)
             else:
                 setattr(host.topic, fault, True)
-                # The read under way breaks off, as the store hears nothing.
+                # The current read is aborted, so the next one meets the fault.
                 host.follower.reading.cancel()
         store.append(NAME, "k1", b"changed")
         seconds = 1.5
         if fault == "hanging":
-            # They learn it by the end of a read that nothing answers.
+            # The hosts notice this when an unanswered read times out.
             limits = SETTINGS.platform.store
             seconds += limits.timeout_seconds + limits.poll_seconds
         await trio.sleep(seconds)
@@ -267,7 +267,7 @@
         empty.start(nursery)
         host.start(nursery)
         await trio.sleep(1)
-        # A word that it sent before it was started again may come late.
+        # A report that it sent before a restart may arrive late.
         ends = wire.TopicEnds([wire.TopicEnd(NAME, 1000)])
         mesh.hosts["h1"].publish(Topic.TOPIC_RECORDS, encode(ends))
         await trio.sleep(5)
--- a/agatetack/keyed/test_generations.py
+++ b/agatetack/keyed/test_generations.py
@@ -1,4 +1,4 @@
-"""Test what is believed of the generation that a store says it is in."""
+"""Test which store generations are accepted from replies and peers."""
 
 import pytest
 
@@ -42,15 +42,15 @@
 @pytest.mark.parametrize(
     ("said", "asked_in", "of", "newest"),
     [
-        # The store names one for the first time, the same, a later one.
+        # The store reports its first generation, the same one, a later one.
         (4, NOT_NAMED, 4, 4),
         (4, 4, 4, 4),
         (6, 4, 6, 6),
-        # It names none any more.
+        # The store no longer reports one.
         (None, 4, 4, 4),
-        # A reply of the generation before that comes late.
+        # A late reply of the previous generation.
         (4, 4, 4, 4),
-        # A lower one than the store had before it was asked.
+        # A lower one than the store had reported before the call.
         (3, 4, 4, 4),
     ],
 )
--- a/agatetack/keyed/test_seeds.py
+++ b/agatetack/keyed/test_seeds.py
@@ -1,4 +1,4 @@
-"""Test that hosts start from their seeds, and without them from the store."""
+"""Test that hosts start from a seed, or from the store if no seed answers."""
 
 import contextlib
 import math
@@ -35,7 +35,7 @@
 
 @contextlib.asynccontextmanager
 async def listener(answer):
-    """Listen and let `answer` have each connection; yield the port."""
+    """Serve each connection with `answer`; yield the port."""
     async with trio.open_nursery() as nursery:
         serve = trio.serve_tcp
         found = await nursery.start(
@@ -68,7 +68,7 @@
 async def test_a_host_that_starts_from_a_seed_does_not_call_the_store():
     async with store_fleet() as fleet:
         calls = fleet.store.calls
-        # The seed's own reads now wait for something new, one each topic.
+        # The seed's own reads now wait for new records, one per topic.
         await fleet.until(lambda: calls["/agatetack/log-read"] >= 3)
         before = dict(calls)
         change = seeds_at(fleet.gateways[0].seed_port)
@@ -83,7 +83,7 @@
         )
 
 
-# Guards against an answer kept from before the store gave offsets out again.
+# Guards against a cached answer from before the store reassigned offsets.
 async def test_a_seed_tells_what_holds_after_the_store_lost_records():
     async with store_fleet() as fleet:
         seed = fleet.gateways[0]
@@ -171,7 +171,7 @@
         await fleet.until(
             lambda: all(follower.reachable for follower in host.followers)
         )
-        # What an outage hid is doubted first, as by any other host.
+        # As on any other host, a removal after an outage is first doubted.
         gone = fleet.targets[0].instance
         fleet.store.append("keyed.servers", gone, b"")
         await fleet.until(lambda: gone in host.targets.doubted)
--- a/agatetack/keyed/test_store_restored.py
+++ b/agatetack/keyed/test_store_restored.py
@@ -1,4 +1,4 @@
-"""Test that hosts keep up with a store that came back from an older copy."""
+"""Test that hosts follow a store that was restored from an older copy."""
 
 import random
 
@@ -22,13 +22,14 @@
 from agatetack.thrift_codec import decode, encode
 
 KNOWN_SECONDS = 2.0
-"""In which each change has to be known at every host."""
+"""Time within which each change has to be known at every host."""
 
 LOST = 3
-"""Records that the store acknowledged after the copy was made."""
+"""Records that the store acknowledged after the copy, and so loses."""
 
 
-# Guards against hosts that take no change once the store gives offsets again.
+# Guards against hosts that ignore changes because the store, after it lost
+# records, assigns offsets that they have already read.
 @pytest.mark.parametrize("hosts", [2, 14, 99])
 @pytest.mark.parametrize(
     "appended",
@@ -61,11 +62,11 @@
 def refuse(hosts, refused=True):
     for host in hosts:
         host.topic.refused = refused
-        # A read that waits breaks off, as its connection does.
+        # The waiting read is aborted, as its connection would be.
         host.follower.reading.cancel()
 
 
-# Guards against a read of all keys by each host once the store is back.
+# Guards against every host reading all keys once the store is restored.
 @pytest.mark.parametrize(
     ("hosts", "away_seconds"),
     [(14, 0.0), (14, 1.5), (99, 0.0), (99, 1.5), (400, 1.5)],
@@ -95,7 +96,7 @@
 
 
 class Extreme(random.Random):
-    """Draws the longest pause, or the shortest."""
+    """Always draws the longest pause, or always the shortest."""
 
     def __init__(self, longest):
         super().__init__(0)
@@ -105,8 +106,8 @@
         return b if self.longest else a
 
 
-# Guards against first readers that sleep while all others wait for them, and
-# then read all keys themselves.
+# Guards against first readers whose retry pause is longer than the other hosts
+# wait for their records, so that the others all read all keys themselves.
 @pytest.mark.parametrize("seed", [0, 1, 2])
 @pytest.mark.parametrize("away_seconds", [1.1, 1.5, 2.1, 3.0])
 async def test_first_readers_are_back_before_others_stop_waiting(
@@ -224,7 +225,8 @@
         nursery.cancel_scope.cancel()
 
 
-# Guards against a reply of before the loss that arrives after it is known.
+# Guards against a reply from before the loss that arrives after the host has
+# learned of the loss.
 @pytest.mark.parametrize("whole", [True, False])
 async def test_a_late_reply_of_the_generation_before_is_dropped(
     autojump_clock, whole
@@ -292,7 +294,7 @@
             store.append(NAME, "k1", b"%d" % number)
             await trio.sleep(0.5)
         assert all(host.kept.values == expected(store) for host in hosts)
-        # It starts to name one: what was read of before can't be compared.
+        # It starts to report one: earlier positions can't be compared with it.
         store.generation = 7
         store.append(NAME, "k1", b"named")
         await trio.sleep(KNOWN_SECONDS)
@@ -302,7 +304,7 @@
 
 
 async def start_beside(nursery, store, answer):
-    """Start a host beside a peer that gives `answer`; return both."""
+    """Start a host with a peer that replies with `answer`; return both."""
     mesh = MemoryMesh(nursery)
     peer = mesh.join("h1")
     peer.serve(Topic.TOPIC_RECORDS, answer)
@@ -316,7 +318,7 @@
     return encode(wire.TopicEnds([wire.TopicEnd(NAME, end, **fields)]))
 
 
-# Guards against words and records of peers of another generation.
+# Guards against accepting reports or records of another generation from peers.
 @pytest.mark.parametrize("generation", [None, 0, 1])
 @pytest.mark.parametrize("with_news", [True, False])
 async def test_a_word_of_an_earlier_generation_is_not_heard(
@@ -350,7 +352,7 @@
             await trio.sleep(0.4)
         assert not asked
         assert host.kept.values == expected(store)
-        # Such a word is no reason to leave the reading to others.
+        # Such a report must not make the host rely on other readers.
         store.append(NAME, "k0", b"changed")
         await trio.sleep(0.5)
         assert host.kept.values == expected(store)
@@ -410,7 +412,7 @@
         nursery.cancel_scope.cancel()
 
 
-# Guards against a loop without end at a generation that no store can be in.
+# Guards against an endless loop at a generation that no store can have.
 @pytest.mark.parametrize("asked", [True, False])
 @pytest.mark.parametrize("generation", [-7, 10**12 + 1, 2**63 - 1])
 async def test_a_generation_that_cannot_be_is_not_taken_from_a_peer(
@@ -475,12 +477,12 @@
 
 
 def first_readers(fleet):
-    """Return the hosts that read all keys of a new generation at once."""
+    """Return the hosts that read all keys of a new generation first."""
     places = {host: host.follower.readers.place(NAME) for host in fleet}
     return [h for h, p in places.items() if p is not None and p < FIRST_READERS]
 
 
-# Guards against a fleet that waits for readers which can't tell it anything.
+# Guards against a fleet that waits for readers which can't report to it.
 @pytest.mark.parametrize("fault", ["refused", "hanging", "gone", "cut"])
 @pytest.mark.parametrize("compacted", [False, True])
 async def test_changes_are_known_when_the_first_readers_are_lost_with_records(
@@ -515,7 +517,7 @@
 
 
 class UnnamedStore:
-    """A store as hosts of an older version see it: of no generation."""
+    """A store without a generation, as hosts of an older version see it."""
 
     generation = None
 
@@ -523,7 +525,7 @@
         self.store = store
 
     def __getattr__(self, name):
-        """Return what the store has."""
+        """Return the attribute of the wrapped store."""
         return getattr(self.store, name)
 
 
--- a/agatetack/keyed/topic.py
+++ b/agatetack/keyed/topic.py
@@ -1,4 +1,4 @@
-"""Define a keyed topic: a log of which the newest record of each key stays."""
+"""Define a keyed topic: a compacted log that keeps each key's newest record."""
 
 import abc
 import dataclasses
@@ -9,33 +9,33 @@
 
 
 class TopicUnavailable(Exception):
-    """A call brought no answer, or the store refused it.
+    """The store refused a call or did not answer it.
 
     Attributes:
-        may_have_run: Whether an append may have taken effect, or may yet.
+        may_have_run: Whether an append may have taken effect or still may.
     """
 
     def __init__(self, cause: str, may_have_run: bool = False):
-        """Keep the cause."""
+        """Store the cause."""
         super().__init__(cause)
         self.may_have_run = may_have_run
 
 
 class TopicTruncated(Exception):
-    """The records asked for are no longer kept."""
+    """The store has compacted away the requested records."""
 
 
 class TopicRestored(Exception):
-    """What was read is of another generation of the store than expected."""
+    """The records read belong to another store generation than expected."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True, order=True)
 class TopicPosition:
-    """How far a topic is read; any of a later generation is later.
+    """A read position; later generations sort after earlier ones.
 
     Attributes:
-        generation: The generation of the store that it was read in.
-        offset: The offset to read next.
+        generation: The store generation in which the topic was read.
+        offset: The next offset to read.
     """
 
     generation: StoreGeneration
@@ -44,12 +44,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class KeyedRecord:
-    """One record.
+    """One record of a keyed topic.
 
     Attributes:
-        key: What it is about.
-        value: What it says, or None if the key was removed.
-        offset: Where it stands in the topic.
+        key: The key.
+        value: The value, or None if the key was removed.
+        offset: The record's offset in the topic.
     """
 
     key: str
@@ -59,12 +59,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class TopicPage:
-    """Records of a topic.
+    """Records of a topic and the position after them.
 
     Attributes:
-        records: The records, by offset; of one key the last one counts.
+        records: The records in offset order; the last one per key is current.
         end: The offset that the topic's next record will get.
-        generation: The generation of the store that they were read in.
+        generation: The store generation in which they were read.
     """
 
     records: Sequence[KeyedRecord]
@@ -73,49 +73,49 @@
 
     @property
     def position(self) -> TopicPosition:
-        """Return how far the topic is read with these records."""
+        """Return the read position after these records."""
         return TopicPosition(self.generation, self.end)
 
 
 class KeyedTopic(abc.ABC):
-    """One keyed topic."""
+    """Read and append access to one keyed topic."""
 
     @abc.abstractmethod
     async def newest(self, deadline: Deadline) -> TopicPage:
         """Return the newest record of each key.
 
-        Records appended meanwhile may be among them, and are read again from
-        the page's end on.
+        The page may include records that were appended during the call. They
+        are read again when reading continues at the page's end.
 
         Raises:
-            TopicRestored: The store lost records meanwhile.
-            TopicUnavailable: They could not be read before `deadline`.
+            TopicRestored: The store lost records during the call.
+            TopicUnavailable: The call did not finish before `deadline`.
         """
 
     @abc.abstractmethod
     async def read(
         self, first: LogOffset, wait_until: Deadline, deadline: Deadline
     ) -> TopicPage:
-        """Return the records from `first` on, as soon as there is one.
+        """Wait for at least one record at or after `first`; return them.
 
         Args:
-            first: The offset of the first record wanted.
-            wait_until: When to return without a record.
-            deadline: When to give the call up.
+            first: The offset of the first record to return.
+            wait_until: When to return even without a record.
+            deadline: When to abort the call.
 
         Raises:
-            TopicTruncated: `first` is no longer kept.
-            TopicUnavailable: Nothing could be read before `deadline`.
+            TopicTruncated: The store no longer keeps `first`.
+            TopicUnavailable: The call did not finish before `deadline`.
         """
 
     @abc.abstractmethod
     async def append_all(
         self, values: Mapping[str, bytes], deadline: Deadline
     ) -> LogOffset:
-        """Append a record for each key, all or none, and return the first.
+        """Append one record per key, all or none; return the first offset.
 
         Raises:
-            TopicUnavailable: They are not known to stand in the topic.
+            TopicUnavailable: The append was not confirmed.
         """
 
     async def append(
@@ -124,6 +124,6 @@
         """Append a record and return its offset.
 
         Raises:
-            TopicUnavailable: It is not known to stand in the topic.
+            TopicUnavailable: The append was not confirmed.
         """
         return await self.append_all({key: value}, deadline)
