--- a/agatetack/hosts/__init__.py
+++ b/agatetack/hosts/__init__.py
@@ -1,1 +1,1 @@
-"""Know the hosts and targets that are listed."""
+"""Track the hosts and targets that are listed or registered."""
--- a/agatetack/hosts/directory.py
+++ b/agatetack/hosts/directory.py
@@ -1,4 +1,4 @@
-"""Keep the latest list of hosts, and be slow to believe a mass leaving."""
+"""Track the platform's host list, and delay accepting mass removals."""
 
 import collections
 import dataclasses
@@ -24,12 +24,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ListChange:
-    """What differs between two lists.
+    """The difference between two lists.
 
     Attributes:
-        added: Entries that are new.
-        updated: Entries that changed, as they are now.
-        removed: Entries that are no longer listed, as they were.
+        added: New entries.
+        updated: The new versions of changed entries.
+        removed: The last versions of entries that are no longer listed.
     """
 
     added: Sequence[ListedHost]
@@ -47,35 +47,35 @@
 ChangeCallback = Callable[[ListChange], None]
 """Called after the list has changed; must not block or raise.
 
-It is also called with an empty change now and then while the list can be read,
-since a list that still says "live" is evidence to those who weigh it.
+While the list can be read, it is also called periodically with an empty change,
+as evidence that a listed state such as "live" still applies.
 """
 
 REPEAT_SECONDS = 5.0
-"""How often callbacks hear of a list that was read and has not changed."""
+"""How often callbacks are called for a list that is read but unchanged."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class _Vanished:
-    """An entry removed lately, which counts in judging later losses."""
+    """A recently removed entry, counted when later removals are judged."""
 
     service: ServiceId
     counts_until: Deadline
 
 
 class HostDirectory:
-    """The list of hosts as this host believes it.
+    """The list of hosts that this host uses.
 
-    New entries and changed states are believed at once, and so is the
-    disappearance of a few, or of one listed as leaving. When more than
-    `shrink_ratio` of a service's targets, or of the gateways, vanish within
-    `shrink_hold_seconds`, the rest of them is kept for that long, as a list
-    that lags or misleads is likelier than that many hosts gone at once; a
-    target that is really gone shows it by refusing connections. An empty list
-    is never believed.
+    New entries and changed states are applied at once, as is the removal of a
+    few entries or of entries listed as leaving. When more than `shrink_ratio`
+    of a service's targets, or of the gateways, disappear within
+    `shrink_hold_seconds`, the remaining ones are kept for that long even if
+    they are missing: a stale or wrong list is likelier than that many failed
+    hosts, and a target that really failed refuses connections. An empty list
+    is never applied.
 
     Attributes:
-        hosts: The entries believed now.
+        hosts: The entries in use.
         fetched_at: When the list was last read, or None.
     """
 
@@ -86,7 +86,7 @@
 
         Args:
             settings: `platform.host_list` is used.
-            host_list: Where the list is read.
+            host_list: The source of the list.
             metrics: Counts fetches by result.
         """
         self.settings = settings.platform.host_list
@@ -116,19 +116,19 @@
         )
 
     def targets(self) -> Sequence[ListedHost]:
-        """Return the targets believed now."""
+        """Return the targets in use."""
         return [host for host in self.hosts if host.role is HostRole.TARGET]
 
     def gateways(self) -> Sequence[ListedHost]:
-        """Return the gateways believed now."""
+        """Return the gateways in use."""
         return [host for host in self.hosts if host.role is HostRole.GATEWAY]
 
     def on_change(self, callback: ChangeCallback) -> None:
-        """Call `callback` after each change, and now and then without one."""
+        """Call `callback` after each change, and periodically without one."""
         self.callbacks.append(callback)
 
     def age_seconds(self) -> float | None:
-        """Return how old the list in use is, or None without any."""
+        """Return the age of the list in use, or None if there is none."""
         if self.fetched_at is None:
             return None
         return trio.current_time() - self.fetched_at
@@ -144,7 +144,7 @@
             await self.poll()
 
     async def poll(self) -> None:
-        """Read the list once; on failure the last one stays in use."""
+        """Read the list once; on failure keep using the last one."""
         deadline = trio.current_time() + self.settings.timeout_seconds
         try:
             fetched = await self.host_list.fetch(Deadline(deadline))
@@ -169,7 +169,7 @@
             LOG.info("The list can be used again.")
         self.reachable = True
         self.fetched_at = Deadline(trio.current_time())
-        # An unchanged list comes as the same object, and needs no work.
+        # The source returns the same object if the list has not changed.
         if fetched is not self.last_fetch or self.held:
             self.last_fetch = fetched
             self._apply({host.id: host for host in fetched})
@@ -215,7 +215,7 @@
         self.held = kept
 
     def _services_shrunk(self, missing: Sequence[ListedHost]) -> set[ServiceId]:
-        """Return the services that lost too much; "" is the gateways'."""
+        """Return the services that lost too many; "" means the gateways."""
         if not missing:
             return set()
         lost_lately = [loss.service for loss in self.vanished.values()]
@@ -260,7 +260,7 @@
         known = before.get(key)
         if known is None:
             added.append(host)
-        # Entries that did not change mostly come as the same objects.
+        # Unchanged entries are mostly the same objects.
         elif known is not host and known != host:
             updated.append(host)
     removed = [host for key, host in before.items() if key not in after]
--- a/agatetack/hosts/evacuations.py
+++ b/agatetack/hosts/evacuations.py
@@ -1,8 +1,8 @@
-"""Keep which failure domains operators evacuated: their targets get no work.
+"""Track which failure domains are evacuated: their targets get no requests.
 
-An evacuation is a record of its own beside the operators' document. It reaches
-hosts as the document does, so one that can't read the store has it from its
-peers or from a seed.
+An evacuation is a separate record next to the operators' document. It reaches
+hosts the same way as the document, so a host that can't read the store gets it
+from its peers or from a seed.
 """
 
 import abc
@@ -17,8 +17,8 @@
 from agatetack.metrics import Metrics
 
 LOST_EVACUATION_SECONDS = 60.0
-"""How long an evacuation holds that the store has lost, unless it is written
-again. One that ended meanwhile may have left nothing there that says so."""
+"""How long an evacuation stays in force after the store lost it, unless it is
+written again. If it ended meanwhile, the store may have no record of that."""
 
 Listen = Callable[[Set[FailureDomain]], None]
 """Called with all evacuated failure domains after each change; must not block
@@ -28,7 +28,7 @@
 
 
 class EvacuationKeys(abc.ABC):
-    """A way to tell records of evacuations from others."""
+    """Recognizes the keys of evacuation records."""
 
     @abc.abstractmethod
     def domain(self, key: str) -> FailureDomain | None:
@@ -38,15 +38,16 @@
 class Evacuations(TopicReader):
     """The failure domains that are evacuated now.
 
-    A record puts one in force, whatever it says, and its removal ends it. An
-    evacuation whose removal nobody kept ends when all keys are read anew.
+    An evacuation is in force while its record exists, whatever its value. If
+    the removal record is no longer kept, the evacuation ends when all keys are
+    read again.
 
     Attributes:
         domains: The failure domains.
     """
 
     def __init__(self, keys: EvacuationKeys, listen: Listen, metrics: Metrics):
-        """Tell `listen` of changes."""
+        """Call `listen` after each change."""
         self.keys = keys
         self.listen = listen
         self.domains: frozenset[FailureDomain] = frozenset()
@@ -60,20 +61,20 @@
         )
 
     def take_all(self, records: Sequence[KeyedRecord]) -> None:
-        """Take the evacuations there are; all others are over."""
+        """Apply the existing evacuations; all others are over."""
         self._put_in_force(self._changed(frozenset(), records))
 
     def take_new(self, records: Sequence[KeyedRecord]) -> None:
-        """Take evacuations that began or ended."""
+        """Apply evacuations that began or ended."""
         self._put_in_force(self._changed(self.domains, records))
 
     def holds_until(
         self, known: KeyedRecord, found: KeyedRecord | None
     ) -> Deadline | None:
-        """Return until when an evacuation holds that the store has lost.
+        """Return until when an evacuation that the store lost stays in force.
 
-        One that is found there again though it was over may have been begun
-        anew, and is taken for that.
+        One that has ended but is in the store again may have been started
+        again, so it is treated as in force.
         """
         lost = known.value is not None and found is None
         if not lost or self.keys.domain(known.key) is None:
@@ -83,7 +84,7 @@
     def _changed(
         self, domains: Set[FailureDomain], records: Sequence[KeyedRecord]
     ) -> frozenset[FailureDomain]:
-        """Return `domains` after `records`, of which the later ones count."""
+        """Return `domains` after applying `records` in order."""
         found = set(domains)
         for record in records:
             domain = self.keys.domain(record.key)
--- a/agatetack/hosts/host_list.py
+++ b/agatetack/hosts/host_list.py
@@ -1,4 +1,4 @@
-"""Define the platform's lagging list of live and leaving hosts."""
+"""Define the platform's list of live and leaving hosts, which may be stale."""
 
 import abc
 import dataclasses
@@ -13,14 +13,14 @@
 
 
 class HostRole(enum.Enum):
-    """What a listed host does."""
+    """The role of a listed host."""
 
     GATEWAY = "gateway"
     TARGET = "target"
 
 
 class HostState(enum.Enum):
-    """What the platform says of a host; it may be outdated."""
+    """The state that the platform lists for a host; it may be outdated."""
 
     LIVE = "live"
     LEAVING = "leaving"
@@ -32,11 +32,11 @@
 
     Attributes:
         id: A gateway's `HostId`, or a target's id `ip:port`.
-        role: What it does.
+        role: Its role.
         state: Whether it is leaving.
-        ip: Its IP number.
+        ip: Its IP address.
         port: A target's port for requests, or a gateway's for peers.
-        failure_domain: Where it is.
+        failure_domain: Its failure domain.
         service: A target's service; empty for a gateway.
     """
 
--- a/agatetack/hosts/http_host_list.py
+++ b/agatetack/hosts/http_host_list.py
@@ -29,16 +29,16 @@
 NOT_MODIFIED = 304
 
 GZIP_WINDOW = 31
-"""The window size that makes zlib read gzip and nothing else."""
+"""The zlib `wbits` value that accepts only the gzip format."""
 
 MAX_LIST_BYTES = 16 << 20
-"""Longest list that is read, in bytes; ten times the size designed for."""
+"""Maximum size of the list; ten times the size designed for."""
 
 ENTRIES_AT_ONCE = 200
-"""Entries read before other tasks get their turn."""
+"""Number of entries parsed before other tasks may run."""
 
 SHOWN_FINDINGS = 5
-"""Odd entries named in one log line; the rest are only counted."""
+"""Maximum invalid entries shown in one log line; the rest are only counted."""
 
 LISTED_HOST = pydantic.TypeAdapter(ListedHost)
 
@@ -46,17 +46,17 @@
 
 
 class HttpHostList(HostList):
-    """The list at the address that the settings name.
+    """The list served at the address in the settings.
 
     Attributes:
         hosts: The entries of the last list.
-        etag: The last list's validator, or None.
-        findings: What was wrong with entries of the last list, which are
-            left out; one line each with the entry's place.
+        etag: The ETag of the last list, or None.
+        findings: Why entries of the last list were rejected and left out; one
+            line each, with the entry's index.
     """
 
     def __init__(self, settings: Settings):
-        """Make a client; it connects when it is first used."""
+        """Create a client; it connects on first use."""
         self.settings = settings.platform.host_list
         self.caller = PlatformCaller(
             self.settings.endpoint, self.settings.timeout_seconds
@@ -97,12 +97,12 @@
         return self.hosts
 
     async def take(self, reply: PlatformReply) -> None:
-        """Make the list in `reply` the last one; odd entries are left out."""
+        """Store the list in `reply` as the last one; drop invalid entries."""
         known = {host.id: host for host in self.hosts}
         hosts: list[ListedHost] = []
         findings: list[str] = []
         for place, entry in enumerate(_entries(reply)):
-            # A long list must not hold up the requests of this process.
+            # Parsing a long list must not delay requests in this process.
             if place % ENTRIES_AT_ONCE == 0:
                 await trio.lowlevel.checkpoint()
             try:
@@ -121,10 +121,10 @@
 def _read_entry(
     entry: object, known: Mapping[HostId, ListedHost]
 ) -> ListedHost:
-    """Return the entry, as the object known before if it did not change.
+    """Return the parsed entry, or the known object if it has not changed.
 
     Raises:
-        ValueError: It is no entry.
+        ValueError: The entry is invalid.
     """
     if isinstance(entry, dict) and isinstance(entry.get("id"), str):
         before = known.get(entry["id"])
--- a/agatetack/hosts/listed_target.py
+++ b/agatetack/hosts/listed_target.py
@@ -1,4 +1,4 @@
-"""Define what a registry of targets says beyond a list of hosts."""
+"""Define a registered target, which has more fields than a listed host."""
 
 import abc
 import dataclasses
@@ -9,13 +9,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ListedTarget(ListedHost):
-    """One target that registered itself; its id is that of its process.
+    """A target that registered itself; its id is that of its process.
 
     Attributes:
-        slots: Requests that it can run at the same time.
-        warm_at: When it has warmed up after its start.
-        incarnation: When its process started, in Unix ms; 0 if not said.
-        sequence: Number of its report of itself, from its start on.
+        slots: Number of requests that it can run concurrently.
+        warm_at: When its warm-up after the start ends.
+        incarnation: When its process started, in Unix ms; 0 if unknown.
+        sequence: Number of this registration, counted from the process start.
     """
 
     slots: int = 2
@@ -24,11 +24,11 @@
     sequence: int = 0
 
     def is_older_than(self, other: "ListedTarget") -> bool:
-        """Return whether the target said this before it said `other`.
+        """Return whether the target sent this registration before `other`.
 
-        A report may land seconds late, behind one of a later start or behind
-        a later one of the same start. Without an incarnation it can't be
-        told, as numbers begin anew with each start.
+        A registration may arrive seconds late, after a newer one of the same
+        process or of a later one. Without an incarnation the order is unknown,
+        because sequence numbers restart with each process.
         """
         if not self.incarnation or not other.incarnation:
             return False
@@ -37,16 +37,16 @@
 
 
 class BadRegistration(Exception):
-    """Bytes are no registration of a target."""
+    """The content is not a valid registration of a target."""
 
 
 class RegistrationDecoder(abc.ABC):
-    """A way to read registrations."""
+    """Decodes registrations of targets."""
 
     @abc.abstractmethod
     def decode(self, key: str, content: bytes) -> ListedTarget:
         """Return the target registered under `key`.
 
         Raises:
-            BadRegistration: `content` registers none.
+            BadRegistration: `content` is not a valid registration.
         """
--- a/agatetack/hosts/member_directory.py
+++ b/agatetack/hosts/member_directory.py
@@ -1,4 +1,4 @@
-"""Find the other hosts by the topic in which each host registers."""
+"""Discover the other hosts from the topic in which each host registers."""
 
 import math
 import random
@@ -19,35 +19,36 @@
 log = DecisionLog("members")
 
 GATHER_SECONDS = 0.1
-"""How long registrations that another host asked for are gathered, so that
-hundreds of hosts that start together cost a few calls of the store."""
+"""How long registrations requested by other hosts are batched, so that hundreds
+of hosts that start together cost only a few store calls."""
 
 OTHERS_SECONDS = 2.5
-"""How long a host waits until it sees that another one has registered it:
-0.1 s to gather, 0.5 s until a reader has read it, the rest until the reader
-has told this host."""
+"""How long a host waits to see that another host has registered it: 0.1 s for
+batching, 0.5 s until a reader has read the record, and the rest until the
+reader has reported it to this host."""
 
 
 REWRITE_STEP_SECONDS = 0.4
-"""How long each host that reads the topic for all waits longer than the one
-before it until it registers anew what the store has lost: one call and the read
-that shows it to the others."""
+"""Delay between successive readers of the topic, by rank, before they rewrite
+registrations that the store lost. It covers one call and the read that shows
+the result to the others."""
 
 MOST_REWRITERS = 4
-"""Hosts at most that do so for others; any other one does it for itself."""
+"""Maximum number of hosts that rewrite registrations of all hosts. Any other
+host rewrites only its own."""
 
 SEEN_SECONDS = 10.0
-"""How long a host waits until it sees its own registration, before it makes it
+"""How long a host waits to see its own registration before it registers
 again."""
 
 
 class MemberRecord(msgspec.Struct, frozen=True):
-    """What a host registers of itself.
+    """The registration of a host.
 
     Attributes:
-        ip: Where peers reach it.
+        ip: Its IP address for peers.
         port: Its port for peers.
-        failure_domain: Where it is.
+        failure_domain: Its failure domain.
     """
 
     ip: str
@@ -56,23 +57,24 @@
 
 
 class MemberDirectory(TopicReader):
-    """The hosts that registered; some of them may be gone.
+    """The hosts that registered; some of them may no longer run.
 
-    Nobody takes out a host that went without a word, as any view may be
-    wrong. A fleet that is thought too large only spends less of what it may.
+    No host removes another one that disappeared without deregistering, as any
+    single view may be wrong. If the fleet is overestimated, each host only
+    uses less of the shared budgets than it may.
 
     Attributes:
         known: Whether the topic has been read.
-        known_records: What each host registered, as the store holds it or
-            held it before it was lost.
-        waiting: Hosts that asked this one to register them.
+        known_records: The registration of each host, as it is in the store or
+            was before the store lost it.
+        waiting: Registrations that other hosts requested from this one.
         lost: Registrations that the store has lost, by host.
-        place: This host's place among those that read the topic for all.
-        loss: Set, and replaced, when the store has lost some.
+        place: This host's rank among those that read the topic for the fleet.
+        loss: Set when the store has lost registrations, and then replaced.
     """
 
     def __init__(self, settings: Settings, topic: KeyedTopic, metrics: Metrics):
-        """Register in `topic`, and read it through a follower."""
+        """Register in `topic`; a follower passes its records to this reader."""
         self.settings = settings
         self.topic = topic
         self.own = settings.host.id
@@ -96,17 +98,17 @@
         return tuple(self.hosts.values())
 
     def on_change(self, callback: Callable[..., None]) -> None:
-        """Call `callback`, with what changed, after each change."""
+        """Call `callback` with one argument, None, after each change."""
         self.callbacks.append(callback)
 
     def take_all(self, records: Sequence[KeyedRecord]) -> None:
-        """Take every host that registered."""
+        """Replace all hosts by those that are registered."""
         self.hosts.clear()
         self.known_records.clear()
         self.take_new(records)
 
     def take_new(self, records: Sequence[KeyedRecord]) -> None:
-        """Take hosts that registered or left."""
+        """Apply hosts that registered or were removed."""
         for record in records:
             if record.value is None:
                 self.hosts.pop(record.key, None)
@@ -123,11 +125,12 @@
     def holds_until(
         self, known: KeyedRecord, found: KeyedRecord | None
     ) -> Deadline | None:
-        """Return until when a lost registration holds.
+        """Return until when a lost registration stays valid.
 
-        The list of hosts is never thought too short. Of two registrations of a
-        host the earlier known one is the later made, unless the host has just
-        made another one, which it does again if it is not believed.
+        The list of hosts must never be too short. If the store has another
+        registration of the host, the known one is usually newer than the
+        restored one. If the host has just registered again instead, it repeats
+        this when its registration is not accepted.
         """
         if known.value is None:
             return None
@@ -138,16 +141,17 @@
         return Deadline(trio.current_time() + SEEN_SECONDS)
 
     def take_lost(self, lost: Sequence[KeyedRecord], place: int | None) -> None:
-        """Note which registrations the store has lost, to make them anew."""
+        """Note the registrations that the store lost, to write them again."""
         self.lost = {record.key: record.value for record in lost}
         self.place = place
         if self.lost:
             self.loss.set()
 
     async def replace_lost(self) -> None:
-        """Make registrations anew that the store has lost, until cancelled.
+        """Rewrite registrations that the store lost, until cancelled.
 
-        Hosts do not write them again as targets and operators do.
+        Unlike targets and operators, hosts do not rewrite their records
+        regularly.
         """
         while True:
             await self.loss.wait()
@@ -182,19 +186,19 @@
         )
 
     def own_record(self, port: int) -> bytes:
-        """Return what this host registers, with its port for peers."""
+        """Return the registration of this host, with its port for peers."""
         listen = self.settings.peers.listen
         domain = self.settings.host.failure_domain
         record = MemberRecord(listen.host, port, domain)
         return msgspec.json.encode(record)
 
     async def register(self, port: int, others_do: bool = False) -> None:
-        """Register this host, unless its last registration is still true.
+        """Register this host unless its last registration is still correct.
 
         Args:
             port: The port for peers.
-            others_do: Whether another host was asked to do it; it is given
-                some time.
+            others_do: Whether another host was asked to register this one,
+                so that this host first waits for it.
         """
         await self.read.wait()
         if others_do:
@@ -206,7 +210,7 @@
             return
         while not self._is_registered(port):
             await self._append({self.own: self.own_record(port)})
-            # What was acknowledged may be lost before anybody has read it.
+            # The store may lose an acknowledged record before it is read.
             with trio.move_on_after(SEEN_SECONDS):
                 while not self._is_registered(port):
                     await trio.sleep(GATHER_SECONDS)
@@ -217,9 +221,10 @@
         return own is not None and (own.ip, own.port) == (listen.host, port)
 
     def register_other(self, host: str, content: bytes) -> None:
-        """Register another host soon, together with all that ask meanwhile.
+        """Register another host soon, batched with other requests.
 
-        Whoever reaches this host may ask; what is no registration is left out.
+        Anyone who can connect to this host may send a request, so invalid
+        registrations are dropped.
         """
         if not HOST_PATTERN.fullmatch(host) or not _is_member(content):
             self.registrations.inc({"result": "malformed"})
@@ -230,7 +235,7 @@
             self.asked.set()
 
     async def register_others(self) -> None:
-        """Register the hosts that asked for it, until cancelled."""
+        """Register the hosts that requested it, until cancelled."""
         while True:
             await self.asked.wait()
             await trio.sleep(GATHER_SECONDS)
@@ -246,7 +251,7 @@
             try:
                 offset = await self.topic.append_all(records, deadline)
             except TopicUnavailable as error:
-                # A registration that is made twice does no harm.
+                # Registering twice is harmless.
                 self.registrations.inc({"result": "unavailable"})
                 log.note("not-registered", cause=str(error))
                 await trio.sleep(limits.retry_seconds)
@@ -257,10 +262,10 @@
 
 
 def _read_member(content: bytes) -> MemberRecord:
-    """Return what a host registered.
+    """Return the decoded registration of a host.
 
     Raises:
-        ValueError: It is no JSON, or a field is missing or of another type.
+        ValueError: It is not JSON, or a field is missing or has a wrong type.
     """
     return msgspec.json.decode(content, type=MemberRecord)
 
--- a/agatetack/hosts/registered_targets.py
+++ b/agatetack/hosts/registered_targets.py
@@ -1,4 +1,4 @@
-"""Keep the targets that registered themselves, and doubt what an outage hid."""
+"""Track registered targets, and keep those that an outage may have removed."""
 
 from collections import OrderedDict
 from collections.abc import Callable, Sequence
@@ -21,38 +21,40 @@
 log = DecisionLog("targets")
 
 LOST_TARGET_SECONDS = 5.0
-"""How long a target is believed whose registration the store has lost; a live
-one registers again with its next reports, 1.5 s apart."""
+"""How long a target stays in use after the store lost its registration. A live
+target registers again with its next reports, which are 1.5 s apart."""
 
 OUTDATED_SECONDS = 30.0
-"""How long what is known of a target holds against an older registration that
-the store has in its place. One of a target that has left lapses meanwhile."""
+"""How long a target's known state prevails over an older registration that the
+store has after a loss. The registration of a target that left expires in this
+time."""
 
 MAX_DEPARTED = 10_000
-"""Targets that were removed and are remembered; the oldest are forgotten."""
+"""Maximum number of removed targets that are remembered, the latest ones."""
 
 REPEAT_SECONDS = 2.0
-"""How often targets are told again when nothing changes."""
+"""How often the listener is called when nothing changes."""
 
 Listen = Callable[[Sequence[ListedTarget]], None]
 """Called with all targets after each change; must not block or raise."""
 
 
 class RegisteredTargets(TopicReader):
-    """The targets that are registered, as this host believes.
+    """The registered targets that this host uses.
 
-    A registration lapses when a target is silent, and also while the store is
-    away, when the target's heartbeats can't reach it. So what is missing when
-    the store is back is kept for `doubt_seconds`, in which live targets
-    register again; what is missing after that is gone.
+    A registration expires when its target stops sending heartbeats, but also
+    when the heartbeats can't reach the store in an outage. Targets that are
+    missing once the store is back are therefore kept for `doubt_seconds`, in
+    which live targets register again. Those still missing then are removed.
 
     Attributes:
-        targets: The targets believed, by key.
-        departed: What was known last of targets that were removed, by key.
-        doubted: Those whose registration is missing, with the time at which
-            they are taken for gone.
+        targets: The targets in use, by key.
+        departed: The last known state of removed targets, by key.
+        doubted: Targets whose registration is missing, with the time at which
+            they are removed.
         known: Whether the registrations have been read.
-        doubt_until: Registrations that vanish before this time are doubted.
+        doubt_until: Targets whose registration disappears before this time
+            are doubted rather than removed.
     """
 
     def __init__(
@@ -62,7 +64,7 @@
         listen: Listen,
         metrics: Metrics,
     ):
-        """Tell `listen` of changes."""
+        """Call `listen` after each change."""
         self.doubt_seconds = settings.platform.store.doubt_seconds
         self.decoder = decoder
         self.listen = listen
@@ -78,7 +80,7 @@
         )
 
     async def run(self) -> None:
-        """Give up targets whose time of doubt is over, until cancelled."""
+        """Remove targets whose doubt period is over, until cancelled."""
         while True:
             self.changed = trio.Event()
             soonest = min(self.doubted.values(), default=float("inf"))
@@ -87,12 +89,12 @@
                 await self.changed.wait()
             self._end_doubts()
             if trio.current_time() >= repeat_at:
-                # That a target is still registered is evidence to those who
-                # weigh signs of its leaving.
+                # Listeners that weigh signs of a target's leaving use its
+                # registration as evidence against them.
                 self._tell()
 
     def take_all(self, records: Sequence[KeyedRecord]) -> None:
-        """Take the registrations there are; all others are gone."""
+        """Apply the existing registrations; all others are missing."""
         present = {r.key for r in records if r.value is not None}
         for key in self.targets.keys() - present:
             self._lose(key)
@@ -100,7 +102,7 @@
         self.take_new(records)
 
     def take_new(self, records: Sequence[KeyedRecord]) -> None:
-        """Take registrations that were made, changed or removed."""
+        """Apply registrations that were added, changed or removed."""
         for record in records:
             if record.value is None:
                 self._lose(record.key)
@@ -109,10 +111,10 @@
         self._tell()
 
     def take_sound(self, records: Sequence[KeyedRecord], whole: bool) -> None:
-        """Take what a host read for which the store was there all the while.
+        """Process records from a host that could reach the store all along.
 
-        The store may turn this host away and serve the others: what it
-        removed then is gone, and no outage hides it.
+        The store may refuse this host while it serves others. Removals that
+        another host read then are real and not a result of an outage.
         """
         before, self.doubt_until = self.doubt_until, Deadline(0.0)
         super().take_sound(records, whole)
@@ -121,7 +123,7 @@
     def holds_until(
         self, known: KeyedRecord, found: KeyedRecord | None
     ) -> Deadline | None:
-        """Return until when a lost registration, or a removal, holds."""
+        """Return until when a lost registration or removal stays valid."""
         now = trio.current_time()
         if found is None:
             lost = known.value is not None
@@ -143,11 +145,11 @@
             return None
 
     def lost_touch(self) -> None:
-        """Doubt what vanishes until the store has been back for a while."""
+        """Doubt removals until the store has been reachable for a while."""
         self._doubt_until(Deadline(float("inf")))
 
     def in_touch(self) -> None:
-        """Doubt what vanished, or vanishes soon, for a while from now."""
+        """Doubt past and new removals for `doubt_seconds` from now."""
         now = trio.current_time()
         self._doubt_until(Deadline(now + self.doubt_seconds))
 
@@ -163,7 +165,7 @@
         except BadRegistration as error:
             self.taken.inc({"result": "malformed"})
             log.note("registration-malformed", key=key, cause=str(error))
-            # Whoever wrote it: what stood there before stands no more.
+            # The malformed record replaces the previous registration.
             if key in self.targets:
                 self._remove(key, "registration-malformed")
             return
@@ -249,12 +251,12 @@
 def _repeats(
     stored: ListedTarget, last: ListedTarget, known: KeyedRecord
 ) -> bool:
-    """Return whether a registration says nothing later than was known.
+    """Return whether a stored registration is no newer than the known state.
 
     Args:
         stored: The registration that the store has.
-        last: What the target said last, as far as it was known.
-        known: The record that was known, which may be its removal.
+        last: The target's last known registration.
+        known: The known record, which may be a removal.
     """
     if stored.incarnation != last.incarnation:
         return stored.is_older_than(last)
--- a/agatetack/hosts/test_directory.py
+++ b/agatetack/hosts/test_directory.py
@@ -1,4 +1,4 @@
-"""Test which lists the directory believes."""
+"""Test which lists the directory accepts."""
 
 import dataclasses
 
@@ -17,7 +17,7 @@
 
 
 def target(name: str) -> ListedHost:
-    """Make an entry: the service's letter, a number, `!` if leaving."""
+    """Make an entry from the service's letter, a number, and `!` if leaving."""
     leaving = name.endswith("!")
     return ListedHost(
         id=HostId(name.rstrip("!")),
@@ -32,11 +32,11 @@
 
 @dataclasses.dataclass(frozen=True)
 class Step:
-    """One poll: what the list says, and what is believed after it.
+    """One poll: the list that is read, and the entries in use after it.
 
     Attributes:
-        listed: Names on the list; None is an outage.
-        believed: Names believed, or None for the listed ones.
+        listed: Names on the list; None for an outage.
+        believed: Names in use after the poll, or None if equal to `listed`.
         later: Seconds that pass after this poll.
     """
 
@@ -177,7 +177,7 @@
     assert changes[1].updated == [target("a1!")]
     assert changes[1].removed == [target("a2")]
     await trio.sleep(REPEAT_SECONDS)
-    # That the list was read again and still says so is told as well.
+    # Callbacks are also called when the list is read again unchanged.
     assert [change.empty for change in changes] == [False, False, True]
     host_list.outage = True
     await trio.sleep(10)
--- a/agatetack/hosts/test_evacuations.py
+++ b/agatetack/hosts/test_evacuations.py
@@ -1,4 +1,4 @@
-"""Test which failure domains are evacuated, however their records come."""
+"""Test which domains are evacuated for each way that records arrive."""
 
 import pytest
 
@@ -29,17 +29,17 @@
         ([("new", [begun("a"), over("a")])], ""),
         ([("new", [begun("a"), over("a"), begun("a", 3)])], "a"),
         ([("new", [begun("a")]), ("new", [over("a")])], ""),
-        # Told twice, or ended before it was known.
+        # Received twice, or ended before it was received.
         ([("new", [begun("a")]), ("new", [begun("a")])], "a"),
         ([("new", [over("a")]), ("new", [])], ""),
-        # Two at once, of which one ends.
+        # Two at the same time, one of which ends.
         ([("new", [begun("a"), begun("b")]), ("new", [over("a", 3)])], "b"),
-        # Other records change nothing.
+        # Other records have no effect.
         ([("new", [begun("a")]), ("new", [CONFIG])], "a"),
         # The removal was dropped before this host read it.
         ([("new", [begun("a")]), ("all", [CONFIG])], ""),
         ([("new", [begun("a")]), ("all", [CONFIG, begun("a")])], "a"),
-        # Whatever the record says, and whoever names it oddly.
+        # Any value counts; malformed keys do not.
         ([("new", [KeyedRecord("evacuate/a", b"\xff", 1)])], "a"),
         ([("new", [KeyedRecord("evacuate/", b"{}", 1)])], ""),
         ([("new", [KeyedRecord("evacuate", b"{}", 1)])], ""),
@@ -52,6 +52,6 @@
         take = evacuations.take_all if kind == "all" else evacuations.take_new
         take(records)
     assert "".join(sorted(evacuations.domains)) == evacuated
-    # Whoever listens hears each change once.
+    # The listener is called once per change.
     assert all(a != b for a, b in zip(told, told[1:], strict=False))
     assert (told[-1] if told else frozenset()) == evacuations.domains
--- a/agatetack/hosts/test_host_list_contract.py
+++ b/agatetack/hosts/test_host_list_contract.py
@@ -82,7 +82,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Fault:
-    """Something that goes wrong in a fetch."""
+    """A fault during a fetch."""
 
     name: str
     begin: Callable[[World], None]
--- a/agatetack/hosts/test_lost_records.py
+++ b/agatetack/hosts/test_lost_records.py
@@ -1,4 +1,4 @@
-"""Test what hosts believe once the store has lost what it acknowledged."""
+"""Test which records hosts use after the store lost acknowledged ones."""
 
 import contextlib
 
@@ -48,10 +48,10 @@
 
     Attributes:
         store: The store.
-        copy: What it comes back from.
+        copy: The copy from which it is restored.
         mesh: The network between the hosts.
         hosts: The hosts.
-        readers: What each of them believes.
+        readers: The topic reader of each host.
     """
 
     def __init__(self, nursery, make):
@@ -78,7 +78,7 @@
             self.store.append(NAME, key.replace("_", "/"), value or b"")
 
     async def lose(self, **records):
-        """Let all hosts read `records`, which the store then loses."""
+        """Write `records`, which the store loses once all hosts have them."""
         self.copy = self.store.copy()
         self.write(**records)
         await trio.sleep(KNOWN_SECONDS)
@@ -90,7 +90,7 @@
 
 @contextlib.asynccontextmanager
 async def drill(make, hosts=14, **records):
-    """Start hosts that have read `records`."""
+    """Start hosts and let them read `records`."""
     async with trio.open_nursery() as nursery:
         play = Drill(nursery, make)
         play.write(**records)
@@ -119,7 +119,7 @@
 
 
 def states(play):
-    """Return the state of each target, which all hosts have to know alike."""
+    """Return the state of each target; check that all hosts agree."""
     found = [
         {key: target.state for key, target in each.targets.items()}
         for each in play.readers
@@ -134,9 +134,9 @@
 @pytest.mark.parametrize(
     ("lost", "believed", "later"),
     [
-        # Registered after the copy: live ones come again within some seconds.
+        # Registered after the copy; live ones register again in some seconds.
         ({"b": entry()}, {"a": LIVE, "b": LIVE}, {"a": LIVE}),
-        # Gone after the copy: it gets no requests again while it is listed.
+        # Removed after the copy; it gets no requests though it is listed again.
         ({"a": None}, {}, {}),
         ({"a": DRAINING}, {"a": LEAVING}, {"a": LEAVING}),
         (
@@ -144,7 +144,7 @@
             {"a": LEAVING, "b": LIVE},
             {"a": LEAVING},
         ),
-        # Said twice that it is ready.
+        # Registered twice as ready.
         ({"a": entry(4)}, {"a": LIVE}, {"a": LIVE}),
     ],
 )
@@ -157,7 +157,7 @@
         await trio.sleep(LOST_TARGET_SECONDS)
         assert states(play) == later
         await trio.sleep(OUTDATED_SECONDS)
-        # What the store has all the while holds in the end.
+        # The store's records apply in the end.
         assert states(play) == {"a": LIVE}
 
 
@@ -168,9 +168,9 @@
         ({"b": entry()}, {"b": None}, {"a": LIVE}),
         ({"a": DRAINING}, {"a": entry(6, "draining")}, {"a": LEAVING}),
         ({"a": DRAINING}, {"a": None}, {}),
-        # A report that landed late is no later one.
+        # A report that arrives late is not a newer one.
         ({"a": DRAINING}, {"a": entry(4)}, {"a": LEAVING}),
-        # One that was taken for gone and is not.
+        # A removed target that is in fact still running.
         ({"a": None}, {"a": entry(4)}, {"a": LIVE}),
         ({"a": None}, {"a": None}, {}),
     ],
@@ -196,7 +196,7 @@
     async with drill(make_documents, config=document(21)) as play:
         await play.lose(config=document(24))
         assert versions(play) == {24}
-        # Offsets that are given out again tell nothing.
+        # Reused offsets must not matter.
         for number in range(others):
             play.write(**{f"other{number}": b"x"})
         for written, in_force in ((21, 24), (24, 24), (27, 27), (29, 29)):
@@ -235,8 +235,8 @@
         assert all(each.domains == wanted for each in play.readers)
 
 
-# Guards against an older document at a host that starts before it is written
-# again.
+# Guards against a host using an older document because it started before the
+# lost one was written again.
 @pytest.mark.parametrize("seeded", [True, False])
 async def test_a_host_that_starts_after_a_loss_holds_what_others_hold(
     autojump_clock, seeded
@@ -290,7 +290,7 @@
             host.topic.append_all = count
         names = [f"m{number}" for number in range(hosts)]
         await play.lose(**dict.fromkeys(names, MEMBER))
-        # The list is never thought too short meanwhile.
+        # The list must never be too short meanwhile.
         assert all(len(each.hosts) == hosts for each in play.readers)
         await trio.sleep(3 * KNOWN_SECONDS)
         assert sorted(play.store.topics[NAME].newest) == sorted(names)
--- a/agatetack/hosts/test_registered_targets.py
+++ b/agatetack/hosts/test_registered_targets.py
@@ -1,4 +1,4 @@
-"""Test which registered targets are believed, through outages of the store."""
+"""Test which registered targets are used, through outages of the store."""
 
 import pytest
 import trio
@@ -19,7 +19,7 @@
 
 
 class Book:
-    """The targets of one host, and the last that was told of them."""
+    """The targets of one host, and the last list passed to its listener."""
 
     def __init__(self):
         settings = default_settings(
@@ -95,10 +95,10 @@
     ("steps", "believed"),
     [
         ([new(a=READY, b=READY)], {"a", "b"}),
-        # A removal is believed at once while the store is there.
+        # A removal applies at once while the store is reachable.
         ([new(a=READY, b=READY), new(a=None)], {"b"}),
         ([new(a=READY, b=READY), everything(b=READY)], {"b"}),
-        # What an outage hid stays while it lasts and for a while after it.
+        # Targets that disappear in an outage stay until some time after it.
         ([new(a=READY), "lost", everything(), 60.0], {"a"}),
         ([new(a=READY), "lost", everything(), "back", 1.0], {"a"}),
         ([new(a=READY), "lost", everything(), "back", 2.5], set()),
@@ -116,14 +116,14 @@
             ],
             {"a"},
         ),
-        # A peer for which the store was there all the while is believed,
-        # also of what is doubted here.
+        # Removals from a peer that could reach the store all along apply at
+        # once, even for targets that are doubted here.
         ([new(a=READY), "lost", sound(a=None)], set()),
         ([new(a=READY), "lost", new(a=None), sound(a=None)], set()),
         ([new(a=READY, b=READY), "lost", sound(b=None), new(a=None)], {"a"}),
-        # One that was leaving is not doubted.
+        # A target that was leaving is not doubted.
         ([new(a=READY), new(a=DRAINING), "lost", everything()], set()),
-        # Each outage begins the doubt anew.
+        # Each outage restarts the doubt period.
         (
             [
                 new(a=READY),
@@ -139,7 +139,7 @@
             {"a"},
         ),
         ([new(a=READY, b=b"junk")], {"a"}),
-        # What can't be read names no target, whatever stood there before.
+        # A malformed record removes the target registered under its key.
         ([new(a=READY, b=READY), new(b=b"junk")], {"a"}),
         ([new(a=READY), new(a=b"junk"), new(a=READY)], {"a"}),
         ([new(a=READY), "lost", everything(a=b"junk")], set()),
@@ -158,10 +158,10 @@
     ("steps", "incarnation", "state"),
     [
         ([entry(1000), entry(2000)], 2000, HostState.LIVE),
-        # It counts anew from its start on.
+        # Its sequence numbers restart with the process.
         ([entry(1000, 9), entry(2000, 1)], 2000, HostState.LIVE),
-        # What it said before its last start, or before its last report,
-        # changes nothing when it arrives late.
+        # A registration from before its last start, or before its last report,
+        # is ignored when it arrives late.
         ([entry(2000), entry(1000, 9, "draining")], 2000, HostState.LIVE),
         (
             [entry(2000, 3, "draining"), entry(2000, 2)],
@@ -173,7 +173,7 @@
             2000,
             HostState.LIVE,
         ),
-        # Who does not say when it started is taken by what came last.
+        # Without an incarnation, the registration received last applies.
         ([entry(0, 9), entry(0, 1, "draining")], 0, HostState.LEAVING),
     ],
 )
