--- a/agatetack/keyed/content.py
+++ b/agatetack/keyed/content.py
@@ -12,7 +12,7 @@
 from agatetack.keyed.reader import TopicReader
 from agatetack.keyed.topic import KeyedRecord, TopicPage, TopicPosition
 
-MOST_NAMED_KEYS = 20
+MAX_LOGGED_KEYS = 20
 """Maximum keys listed in one log entry; the others are only counted."""
 
 log = DecisionLog("keyed")
@@ -245,7 +245,7 @@
             records=len(page.records),
             before_generation=before.generation,
             before=before.offset,
-            carried=sorted(kept)[:MOST_NAMED_KEYS],
+            carried=sorted(kept)[:MAX_LOGGED_KEYS],
             carried_count=len(kept),
             dropped_count=sum(
                 record.value is not None
--- a/agatetack/keyed/follower.py
+++ b/agatetack/keyed/follower.py
@@ -9,7 +9,7 @@
 from agatetack.decisions import DecisionLog, age
 from agatetack.ids import Deadline, LogOffset
 from agatetack.keyed.content import (
-    MOST_NAMED_KEYS,
+    MAX_LOGGED_KEYS,
     CarriedEnd,
     TopicContent,
 )
@@ -28,32 +28,32 @@
 from agatetack.metrics import Metrics
 from agatetack.settings.model import Settings
 
-LOOK_SECONDS = 0.1
+CHECK_SECONDS = 0.1
 """How often a host that relies on other readers checks whether it still can."""
 
 FIRST_READERS = 4
 """Number of readers that read all keys of a new generation at once. They send
 the records to the other readers and to all other hosts."""
 
-TOLD_SECONDS = 1.0
+PEER_WAIT_SECONDS = 1.0
 """How long the other hosts wait for these records before they read all keys
 themselves."""
 
-MOST_TOLD_SPREAD = 1.5
+MAX_PEER_WAIT_FACTOR = 1.5
 """Maximum factor on that time. Hosts use different factors, so that hundreds of
 hosts that receive nothing do not read at once."""
 
-MOST_BACKOFFS = 2
+MAX_BACKOFF_DOUBLINGS = 2
 """Maximum number of doublings of the pause after failed calls."""
 
-FIRST_PAUSE_SECONDS = TOLD_SECONDS / 2
+MAX_FIRST_READER_PAUSE_SECONDS = PEER_WAIT_SECONDS / 2
 """Maximum mean pause of hosts that read all keys for the others. They have to
 retry before the others stop waiting for their records."""
 
 log = DecisionLog("keyed")
 
 
-def _tell_nobody(
+def _report_to_nobody(
     follower: "TopicFollower", before: TopicPosition | None
 ) -> None:
     """Do nothing; the default until the follower reports to peers."""
@@ -102,12 +102,12 @@
         truncated: Whether the store no longer keeps the records that follow.
         generations: The generations of the store.
         readers: Decides whether this host reads or relies on other hosts.
-        advanced: Called after the read position has advanced, with this
+        on_advance: Called after the read position has advanced, with this
             follower and its previous position.
         reachable: Whether the last call was answered.
         in_touch_at: When the store last became reachable again.
-        told_spread: This host's factor on the time that it waits for others'
-            records.
+        peer_wait_factor: This host's factor on the time that it waits for
+            records of others.
         read_at: When the last call was answered, or None.
     """
 
@@ -140,16 +140,16 @@
         self.truncated = False
         self.generations = generations
         self.readers: ReaderChoice = EveryHost()
-        self.advanced: Callable[[TopicFollower, TopicPosition | None], None] = (
-            _tell_nobody
-        )
+        self.on_advance: Callable[
+            [TopicFollower, TopicPosition | None], None
+        ] = _report_to_nobody
         self.reading = trio.CancelScope()
         self.reachable = False
         self.in_touch_at = Deadline(0.0)
         self.read_at: Deadline | None = None
         self.failures = 0
         self.random = rng
-        self.told_spread = self.random.uniform(1.0, MOST_TOLD_SPREAD)
+        self.peer_wait_factor = self.random.uniform(1.0, MAX_PEER_WAIT_FACTOR)
         self.counters = counters
         generations.watchers.append(self._end_outdated_read)
 
@@ -195,17 +195,17 @@
 
     async def _until_needed(self) -> None:
         """Wait while this host can rely on reads of other hosts."""
-        while self.leaves_it_to_others or self._may_be_told():
-            await trio.sleep(LOOK_SECONDS)
+        while self.relies_on_readers or self._awaits_peers():
+            await trio.sleep(CHECK_SECONDS)
 
-    def _may_be_told(self) -> bool:
+    def _awaits_peers(self) -> bool:
         """Return whether peers may soon send all keys of a new generation."""
         if not self.is_outdated or self.truncated:
             return False
         if self._reads_first():
             return False
         waited = trio.current_time() - self.generations.learned_at
-        return waited < TOLD_SECONDS * self.told_spread
+        return waited < PEER_WAIT_SECONDS * self.peer_wait_factor
 
     def _reads_first(self) -> bool:
         """Return whether this host has to read all keys for the others."""
@@ -213,7 +213,7 @@
         return place is not None and place < FIRST_READERS
 
     @property
-    def leaves_it_to_others(self) -> bool:
+    def relies_on_readers(self) -> bool:
         """Return whether this host has the topic and can rely on others."""
         known = self.reachable and self.content.position is not None
         if not known or self.truncated:
@@ -313,11 +313,11 @@
         log.note(
             "carried-from-peer",
             topic=self.name,
-            keys=sorted(self.content.carried.records)[:MOST_NAMED_KEYS],
+            keys=sorted(self.content.carried.records)[:MAX_LOGGED_KEYS],
             count=len(self.content.carried.records),
         )
         self.reader.take_all(records)
-        self._tell_lost()
+        self._pass_lost_to_reader()
         self._show_carried()
 
     def start_from(
@@ -363,11 +363,11 @@
         return self.reachable and quiet > self.limits.doubt_seconds
 
     @property
-    def vouches(self) -> bool:
+    def may_report(self) -> bool:
         """Return whether this host reads itself and can reach the store."""
         if self.is_outdated:
             return False
-        return self.reachable and not self.leaves_it_to_others
+        return self.reachable and not self.relies_on_readers
 
     def _take(
         self,
@@ -391,12 +391,12 @@
         elif records:
             self.reader.take_new(records)
         if whole:
-            self._tell_lost()
+            self._pass_lost_to_reader()
         self._show_carried()
         if self.content.position != before:
-            self.advanced(self, before)
+            self.on_advance(self, before)
 
-    def _tell_lost(self) -> None:
+    def _pass_lost_to_reader(self) -> None:
         lost = self.content.carried.lost(self.content.known)
         self.reader.take_lost(lost, self.readers.place(self.name))
 
@@ -411,7 +411,7 @@
             log.note(
                 "carried-expired",
                 topic=self.name,
-                keys=sorted(r.key for r in records)[:MOST_NAMED_KEYS],
+                keys=sorted(r.key for r in records)[:MAX_LOGGED_KEYS],
                 count=len(records),
             )
             self.reader.take_new(records)
@@ -461,13 +461,13 @@
         return Deadline(now + wait + self.limits.timeout_seconds)
 
     def _pause(self) -> float:
-        doublings = min(self.failures - 1, MOST_BACKOFFS)
+        doublings = min(self.failures - 1, MAX_BACKOFF_DOUBLINGS)
         if self.content.position is None:
             # A host without any records refuses all callers, so retry soon.
             doublings = 0
         pause = self.limits.retry_seconds * 2**doublings
         if self._reads_first():
-            pause = min(pause, FIRST_PAUSE_SECONDS)
+            pause = min(pause, MAX_FIRST_READER_PAUSE_SECONDS)
         return pause * self.random.uniform(0.75, 1.25)
 
     def _count(self, result: str) -> None:
--- a/agatetack/keyed/readers.py
+++ b/agatetack/keyed/readers.py
@@ -20,27 +20,27 @@
 from agatetack.peers.exchange import Exchange
 from agatetack.settings.model import Settings
 
-LEAST_READERS = 12
+MIN_READERS = 12
 """Minimum number of hosts that read a topic for the fleet.
 
 The store may silently refuse a third of all hosts at once, but hardly ever all
 of these.
 """
 
-LEAST_LEADERS = 8
+READING_LEADERS = 8
 """Number of leaders that read a topic in a fleet too large for links between
 all hosts. There are ten or more leaders, and a host that gets no report from a
 reader reads the store itself. If the store turns away all eight, this costs
 extra store calls but no delay."""
 
-WORD_SECONDS = 0.9
+REPORT_TIMEOUT_SECONDS = 0.9
 """A host reads the store itself when no reader has reported for this long.
 
 Together with a reader's pause after a record (`platform.store.batch_seconds`),
 this makes a change known everywhere within 1.5 s even if all readers fail.
 """
 
-PASSED_ON_SECONDS = 0.6
+MAX_FORWARDED_AGE_SECONDS = 0.6
 """Maximum age of a reader's report that a group leader forwards. Reports come
 every 0.4 s, so the latest one is older only when a report was late."""
 
@@ -107,7 +107,7 @@
     some hosts get no reports and read for themselves.
 
     Attributes:
-        heard_at: When a reader last reported that it can reach the store, by
+        reported_at: When a reader last reported that it can reach the store, by
             topic.
         chosen: Whether this host is a reader, by topic.
         doubted_until: Until when this host reads a topic despite reports.
@@ -120,7 +120,7 @@
         self.own = HostId(settings.host.id)
         self.domain = FailureDomain(settings.host.failure_domain)
         self.exchange = exchange
-        self.heard_at: dict[str, Deadline] = {}
+        self.reported_at: dict[str, Deadline] = {}
         self.chosen: dict[str, ChosenReader] = {}
         self.doubted_until: dict[str, Deadline] = {}
         self.trusted_until: dict[str, Deadline] = {}
@@ -130,18 +130,18 @@
         until = trio.current_time() + TRUST_SECONDS
         self.trusted_until[topic] = Deadline(until)
 
-    def heard(self, topic: str, age_seconds: float = 0.0) -> None:
+    def note_report(self, topic: str, age_seconds: float = 0.0) -> None:
         """Note that a host that reads `topic` can reach the store.
 
         Args:
             topic: The topic.
             age_seconds: How long ago that host reported this.
         """
-        heard_at = trio.current_time() - max(0.0, age_seconds)
-        known_at = self.heard_at.get(topic, -math.inf)
-        self.heard_at[topic] = Deadline(max(known_at, heard_at))
+        reported_at = trio.current_time() - max(0.0, age_seconds)
+        known_at = self.reported_at.get(topic, -math.inf)
+        self.reported_at[topic] = Deadline(max(known_at, reported_at))
 
-    def word_age(self, topic: str) -> float | None:
+    def forwardable_age_seconds(self, topic: str) -> float | None:
         """Return the age in seconds of the report that this host may forward.
 
         None if this host leads no group, or if the report is too old to be
@@ -149,8 +149,8 @@
         """
         if not self.exchange.is_leader:
             return None
-        age = trio.current_time() - self.heard_at.get(topic, -math.inf)
-        return age if age < PASSED_ON_SECONDS else None
+        age = trio.current_time() - self.reported_at.get(topic, -math.inf)
+        return age if age < MAX_FORWARDED_AGE_SECONDS else None
 
     def doubt(self, topic: str) -> None:
         """Make this host read `topic` itself for a while despite reports.
@@ -165,11 +165,11 @@
 
     def must_read(self, topic: str) -> bool:
         """Return whether this host has to read `topic` at the store now."""
-        heard_at = self.heard_at.get(topic, -math.inf)
+        reported_at = self.reported_at.get(topic, -math.inf)
         now = trio.current_time()
         if now < self.trusted_until.get(topic, -math.inf):
             return False
-        if now >= heard_at + WORD_SECONDS:
+        if now >= reported_at + REPORT_TIMEOUT_SECONDS:
             return True
         if now < self.doubted_until.get(topic, -math.inf):
             return True
@@ -192,13 +192,13 @@
     def _find_place(self, topic: str) -> int | None:
         if self.exchange.bounded:
             leaders = self.exchange.first_leaders()
-            return _place(self.own, _best(topic, leaders, LEAST_LEADERS))
+            return _place(self.own, _best(topic, leaders, READING_LEADERS))
         domains: dict[FailureDomain, list[HostId]] = defaultdict(list)
         domains[self.domain].append(self.own)
         for peer in self.exchange.known_hosts():
             if not peer.leaving:
                 domains[peer.failure_domain].append(peer.id)
-        readers = math.ceil(LEAST_READERS / len(domains))
+        readers = math.ceil(MIN_READERS / len(domains))
         near = _place(self.own, _best(topic, domains[self.domain], readers))
         if near is None:
             return None
--- a/agatetack/keyed/seeds.py
+++ b/agatetack/keyed/seeds.py
@@ -26,7 +26,7 @@
 from agatetack.streams import open_plain_stream
 from agatetack.thrift_codec import decode, encode
 
-ASK_SECONDS = 0.2
+SEEDS_TIMEOUT_SECONDS = 0.2
 """How long a starting host waits for its seeds. Callers wait for the same time;
 reading the store afterwards takes another 30 ms or so."""
 
@@ -38,7 +38,7 @@
 """Pause before asking a seed again that refused the connection. Hosts that are
 started together are up within some 100 ms of each other."""
 
-GIVE_SECONDS = 1.0
+SERVE_TIMEOUT_SECONDS = 1.0
 """Maximum time for a starting host to send its request and receive the
 answer."""
 
@@ -109,7 +109,7 @@
         await trio.serve_listeners(self._serve, listeners)
 
     async def _serve(self, stream: trio.abc.Stream) -> None:
-        with trio.move_on_after(GIVE_SECONDS) as scope:
+        with trio.move_on_after(SERVE_TIMEOUT_SECONDS) as scope:
             try:
                 await self._answer(stream)
             except (trio.BrokenResourceError, ValueError) as error:
@@ -203,7 +203,7 @@
             len(self.seeds)
         )
         reply = None
-        with trio.move_on_after(ASK_SECONDS):
+        with trio.move_on_after(SEEDS_TIMEOUT_SECONDS):
             async with trio.open_nursery() as nursery:
                 for number, seed in enumerate(self._in_turn()):
                     nursery.start_soon(
@@ -264,29 +264,29 @@
             await trio.aclose_forcefully(stream)
 
     def _note_generations(self, seed: Endpoint, reply: wire.StartReply) -> None:
-        for told in reply.topics:
+        for entry in reply.topics:
             self.generations.note(
-                page_of(told.records).generation,
+                page_of(entry.records).generation,
                 GenerationSource.SEED,
                 seed.host,
             )
 
     def _take(self, reply: wire.StartReply) -> None:
-        for told in reply.topics:
-            follower = self.followers.get(told.topic)
+        for entry in reply.topics:
+            follower = self.followers.get(entry.topic)
             if follower is None:
                 continue
-            in_touch = bool(told.records.sound)
-            page, carried = page_of(told.records), carried_of(told.records)
+            in_touch = bool(entry.records.sound)
+            page, carried = page_of(entry.records), carried_of(entry.records)
             follower.start_from(page, in_touch, carried)
             if in_touch:
-                self.readers.trust(told.topic)
+                self.readers.trust(entry.topic)
 
 
 def _topic(follower: TopicFollower) -> wire.StartTopic:
-    told = records_since(follower, None)
-    told.sound = follower.reachable
-    return wire.StartTopic(follower.name, told)
+    records = records_since(follower, None)
+    records.sound = follower.reachable
+    return wire.StartTopic(follower.name, records)
 
 
 async def _receive_block(stream: trio.abc.Stream, most: int) -> bytes:
--- a/agatetack/keyed/sharing.py
+++ b/agatetack/keyed/sharing.py
@@ -37,26 +37,26 @@
 from agatetack.settings.model import Settings
 from agatetack.thrift_codec import MalformedMessage, decode, encode
 
-TELL_SECONDS = 0.4
+REPORT_SECONDS = 0.4
 """How often a reader reports the read positions of its topics to peers, in
 messages of some 100 bytes. A host reads the store itself only after two of them
 are late."""
 
-GRACE_SECONDS = 0.3
+OWN_READ_GRACE_SECONDS = 0.3
 """How long a host that is behind waits for its own read to return the records
 before it asks the peer. The read may end later than the peer's by the time that
 a message takes."""
 
-NEWS_BYTES = 8192
+MAX_INLINE_BYTES = 8192
 """Maximum size of records that are sent along with the report of a position;
 some 40 registrations of targets. Larger ones are fetched, which costs every
 host a call and a reply, and hosts whose reply is late read the store
 themselves."""
 
-FETCH_SECONDS = 1.0
+READER_FETCH_SECONDS = 1.0
 """Timeout of a fetch from a peer by a host that also reads the store."""
 
-ONLY_FETCH_SECONDS = 0.25
+NON_READER_FETCH_SECONDS = 0.25
 """Timeout of a fetch by a host that relies on other readers. After it the host
 reads the store itself. Even if the peer that reported a change fails before it
 replies, the change is then known within half of the 2 s in which it has to be
@@ -95,17 +95,17 @@
         self.carried_asked_in: dict[str, StoreGeneration] = {}
         self.nursery: trio.Nursery | None = None
         for follower in followers:
-            follower.advanced = self._advanced
+            follower.on_advance = self._advanced
             follower.readers = self.readers
-        exchange.subscribe(Topic.TOPIC_RECORDS, self._take_ends)
-        exchange.serve(Topic.TOPIC_RECORDS, self._give)
+        exchange.subscribe(Topic.TOPIC_RECORDS, self._take_reports)
+        exchange.serve(Topic.TOPIC_RECORDS, self._serve_fetch)
 
     async def run(self) -> None:
         """Report read positions periodically until cancelled."""
         async with trio.open_nursery() as self.nursery:
             while True:
-                await trio.sleep(TELL_SECONDS)
-                self._tell(list(self.followers.values()))
+                await trio.sleep(REPORT_SECONDS)
+                self._report(list(self.followers.values()))
 
     def _advanced(
         self, follower: TopicFollower, before: TopicPosition | None
@@ -116,12 +116,12 @@
         # Other failure domains get only the position: they have readers of
         # their own, and traffic between domains costs money.
         self._publish([end], Scope.ELSEWHERE)
-        news = records_since(follower, before)
-        if not news.whole and _count_bytes(news) <= NEWS_BYTES:
-            end.first, end.news = before.offset, news
+        records = records_since(follower, before)
+        if not records.whole and _count_bytes(records) <= MAX_INLINE_BYTES:
+            end.first, end.news = before.offset, records
         self._publish([end], Scope.DOMAIN)
 
-    def _tell(self, followers: Sequence[TopicFollower]) -> None:
+    def _report(self, followers: Sequence[TopicFollower]) -> None:
         self._publish(
             [end for each in followers if (end := self._end_of(each))]
         )
@@ -144,24 +144,24 @@
             generation=position.generation,
             carried=len(follower.content.carried.records) or None,
         )
-        if not follower.vouches:
-            age = self.readers.word_age(follower.name)
+        if not follower.may_report:
+            age = self.readers.forwardable_age_seconds(follower.name)
             if age is None:
                 return None
             end.age_ms = round(age * 1000)
         return end
 
-    def _take_ends(self, sender: HostId, payload: bytes) -> None:
+    def _take_reports(self, sender: HostId, payload: bytes) -> None:
         try:
             message = decode(wire.TopicEnds, payload)
         except MalformedMessage as error:
             self._drop("ends-malformed", sender, error)
             return
-        for said in message.ends:
-            follower = self.followers.get(said.topic)
+        for report in message.ends:
+            follower = self.followers.get(report.topic)
             if follower is None:
                 continue
-            position = _position(said.generation, said.end)
+            position = _position(report.generation, report.end)
             self.generations.note(
                 position.generation, GenerationSource.PEER, sender
             )
@@ -171,64 +171,68 @@
                     {"part": "keyed", "reason": "ends-outdated"}
                 )
                 continue
-            self.readers.heard(said.topic, (said.age_ms or 0) / 1000)
-            self._take_news(follower, said, position)
-            if said.topic in self.fetching or self.nursery is None:
+            self.readers.note_report(report.topic, (report.age_ms or 0) / 1000)
+            self._take_inline(follower, report, position)
+            if report.topic in self.fetching or self.nursery is None:
                 continue
-            if follower.content.is_behind(position) or self._lacks(
-                follower, said
+            if follower.content.is_behind(position) or self._lacks_carried(
+                follower, report
             ):
-                self.fetching.add(said.topic)
-                self.nursery.start_soon(self._fetch, follower, sender, said)
+                self.fetching.add(report.topic)
+                self.nursery.start_soon(self._fetch, follower, sender, report)
 
-    def _lacks(self, follower: TopicFollower, said: wire.TopicEnd) -> bool:
+    def _lacks_carried(
+        self, follower: TopicFollower, report: wire.TopicEnd
+    ) -> bool:
         """Return whether a peer carries records over and this host has none.
 
         A host that started after the store lost records never received them.
         """
-        if not said.carried or follower.content.carried.records:
+        if not report.carried or follower.content.carried.records:
             return False
-        asked_in = self.carried_asked_in.get(said.topic, NOT_NAMED)
+        asked_in = self.carried_asked_in.get(report.topic, NOT_NAMED)
         return asked_in < self.generations.newest
 
-    def _take_news(
+    def _take_inline(
         self,
         follower: TopicFollower,
-        said: wire.TopicEnd,
+        report: wire.TopicEnd,
         position: TopicPosition,
     ) -> None:
         """Process records in a peer's report if this host relies on others."""
-        if said.news is None or not follower.leaves_it_to_others:
+        if report.news is None or not follower.relies_on_readers:
             return
         # Missing records are fetched, as are those that a reader lacks.
-        first = TopicPosition(position.generation, LogOffset(said.first or 0))
+        first = TopicPosition(position.generation, LogOffset(report.first or 0))
         known = follower.content.position
         if known.generation == first.generation and known >= first:
             follower.take_from_peer(
-                page_of(said.news), said.news.whole, bool(said.news.sound)
+                page_of(report.news), report.news.whole, bool(report.news.sound)
             )
 
     async def _fetch(
-        self, follower: TopicFollower, peer: HostId, said: wire.TopicEnd
+        self, follower: TopicFollower, peer: HostId, report: wire.TopicEnd
     ) -> None:
         """Fetch records from `peer`, unless the own read returns them first."""
         try:
-            own_read = not follower.leaves_it_to_others
+            own_read = not follower.relies_on_readers
             known = (
                 follower.content.position is not None
                 and not follower.is_outdated
             )
             if known and own_read:
-                await trio.sleep(GRACE_SECONDS)
-            if follower.content.is_behind(_position(said.generation, said.end)):
-                await self._ask(follower, peer)
-            elif self._lacks(follower, said):
+                await trio.sleep(OWN_READ_GRACE_SECONDS)
+            if follower.content.is_behind(
+                _position(report.generation, report.end)
+            ):
+                await self._fetch_from(follower, peer)
+            elif self._lacks_carried(follower, report):
                 self.carried_asked_in[follower.name] = self.generations.newest
-                await self._ask(follower, peer, again=True)
+                await self._fetch_from(follower, peer, again=True)
         finally:
             self.fetching.discard(follower.name)
 
-    async def _ask(
+    async def _fetch_from(
         self, follower: TopicFollower, peer: HostId, again: bool = False
     ) -> None:
         """Fetch the records that follow the own position, or those of all keys.
@@ -241,8 +245,8 @@
         request = self._request(follower, again)
         held = self._held(follower) if again or follower.is_outdated else ()
         request.held = hash_records(held) if held else None
-        alone = follower.leaves_it_to_others
-        seconds = ONLY_FETCH_SECONDS if alone else FETCH_SECONDS
+        alone = follower.relies_on_readers
+        seconds = NON_READER_FETCH_SECONDS if alone else READER_FETCH_SECONDS
         deadline = Deadline(trio.current_time() + seconds)
         try:
             reply = await self.exchange.call(
@@ -301,7 +305,9 @@
         ):
             follower.take_carried(carried)
 
-    async def _give(self, sender: HostId, payload: bytes) -> bytes | None:
+    async def _serve_fetch(
+        self, sender: HostId, payload: bytes
+    ) -> bytes | None:
         """Return the records that a peer requests, or None if there are none.
 
         A host that has just started has not read any records yet.
--- a/agatetack/keyed/test_follower.py
+++ b/agatetack/keyed/test_follower.py
@@ -4,8 +4,8 @@
 import trio
 
 from agatetack.generated.keyed import ttypes as wire
-from agatetack.keyed.readers import LEAST_READERS
-from agatetack.keyed.sharing import NEWS_BYTES
+from agatetack.keyed.readers import MIN_READERS
+from agatetack.keyed.sharing import MAX_INLINE_BYTES
 from agatetack.peers.exchange import Topic
 from agatetack.testing.memory_exchange import MemoryMesh
 from agatetack.testing.memory_store import MemoryStore
@@ -159,7 +159,7 @@
     fill(store, 5)
     async with trio.open_nursery() as nursery:
         _, hosts = await start_readers(nursery, store)
-        assert sum(map(is_reader, hosts)) == LEAST_READERS
+        assert sum(map(is_reader, hosts)) == MIN_READERS
         before = sum(host.topic.reads for host in hosts)
         for number in range(10):
             store.append(NAME, "k1", b"%d" % number)
@@ -167,7 +167,7 @@
             assert all(host.kept.values == expected(store) for host in hosts)
         # Each read counts twice here, at its start and its end.
         reads = sum(host.topic.reads for host in hosts) - before
-        assert reads <= 2 * 10 * LEAST_READERS
+        assert reads <= 2 * 10 * MIN_READERS
         nursery.cancel_scope.cancel()
 
 
@@ -249,7 +249,7 @@
     fill(store, 5)
     async with trio.open_nursery() as nursery:
         _, hosts = await start_readers(nursery, store)
-        store.append(NAME, "k1", b"x" * (NEWS_BYTES + 1))
+        store.append(NAME, "k1", b"x" * (MAX_INLINE_BYTES + 1))
         await trio.sleep(1)
         assert all(host.kept.values == expected(store) for host in hosts)
         nursery.cancel_scope.cancel()
--- a/agatetack/keyed/test_seeds.py
+++ b/agatetack/keyed/test_seeds.py
@@ -209,7 +209,7 @@
     readers.doubt("topic")
     assert not readers.must_read("topic")
     await trio.sleep(TRUST_SECONDS)
-    readers.heard("topic")
+    readers.note_report("topic")
     readers.chosen["topic"] = ChosenReader(None, Deadline(math.inf))
     assert not readers.must_read("topic")
     readers.doubt("topic")
--- a/agatetack/keyed/test_store_restored.py
+++ b/agatetack/keyed/test_store_restored.py
@@ -7,7 +7,7 @@
 
 from agatetack.generated.keyed import ttypes as wire
 from agatetack.ids import StoreGeneration
-from agatetack.keyed.follower import FIRST_READERS, TOLD_SECONDS
+from agatetack.keyed.follower import FIRST_READERS, PEER_WAIT_SECONDS
 from agatetack.keyed.generations import GenerationSource
 from agatetack.peers.exchange import Topic
 from agatetack.testing.memory_exchange import MemoryMesh
@@ -130,7 +130,7 @@
         store.restore(copy)
         fill(store, 3, "new")
         refuse(fleet, refused=False)
-        await trio.sleep(TOLD_SECONDS)
+        await trio.sleep(PEER_WAIT_SECONDS)
         assert all(host.kept.values == expected(store) for host in fleet)
         await trio.sleep(KNOWN_SECONDS)
         whole = sum(host.topic.whole_reads for host in fleet) - before
@@ -428,7 +428,7 @@
 
     async with trio.open_nursery() as nursery:
         other, host = await start_beside(nursery, store, answer)
-        host.follower.readers.heard(NAME)
+        host.follower.readers.note_report(NAME)
         word = ends_of(9, generation=1)
         if not asked:
             word = ends_of(9, generation=generation, first=0, news=told)
--- a/agatetack/testing/topic_fleet.py
+++ b/agatetack/testing/topic_fleet.py
@@ -139,4 +139,4 @@
 
 def is_reader(host):
     """Return whether `host` reads the topic at the store."""
-    return not host.follower.leaves_it_to_others
+    return not host.follower.relies_on_readers
