--- a/agatetack/config/document_routes.py
+++ b/agatetack/config/document_routes.py
@@ -87,11 +87,11 @@
             "Version of the operators' document in force.",
         )
 
-    def take_all(self, records: Sequence[KeyedRecord]) -> None:
+    def apply_all(self, records: Sequence[KeyedRecord]) -> None:
         """Read the newest record of every key."""
-        self.take_new(records)
+        self.apply_new(records)
 
-    def take_new(self, records: Sequence[KeyedRecord]) -> None:
+    def apply_new(self, records: Sequence[KeyedRecord]) -> None:
         """Read records that follow those read before."""
         for record in records:
             # Without a value the record is deleted; the last document stays
@@ -99,7 +99,7 @@
             if record.key == self.key and record.value is not None:
                 self._read_document(record.value, record.offset)
 
-    def holds_until(
+    def valid_until(
         self, known: KeyedRecord, found: KeyedRecord | None
     ) -> Deadline | None:
         """Return until when a lost document stays in force.
--- a/agatetack/config/test_document_routes.py
+++ b/agatetack/config/test_document_routes.py
@@ -38,8 +38,8 @@
 )
 def test_the_highest_version_is_in_force(records, version):
     documents, source = make_routes()
-    documents.take_all(records[:1])
-    documents.take_new(records[1:])
+    documents.apply_all(records[:1])
+    documents.apply_new(records[1:])
     assert documents.version == version
     assert (source.table is None) is (version < 0)
 
@@ -47,9 +47,9 @@
 def test_routes_that_were_dropped_are_gone():
     documents, source = make_routes()
     other = route_fields(name="route-b", path_prefix="/b/")
-    documents.take_all([record(1, route_fields(), other)])
+    documents.apply_all([record(1, route_fields(), other)])
     assert source.table.match("a.example", "/b/x").id == "route-b"
-    documents.take_new([record(2)])
+    documents.apply_new([record(2)])
     assert source.table.match("a.example", "/b/x") is None
     assert list(documents.load_paths) == ["svc-a"]
 
--- a/agatetack/hosts/evacuations.py
+++ b/agatetack/hosts/evacuations.py
@@ -60,15 +60,15 @@
             "Failure domains whose targets get no work now.",
         )
 
-    def take_all(self, records: Sequence[KeyedRecord]) -> None:
+    def apply_all(self, records: Sequence[KeyedRecord]) -> None:
         """Apply the existing evacuations; all others are over."""
         self._put_in_force(self._changed(frozenset(), records))
 
-    def take_new(self, records: Sequence[KeyedRecord]) -> None:
+    def apply_new(self, records: Sequence[KeyedRecord]) -> None:
         """Apply evacuations that began or ended."""
         self._put_in_force(self._changed(self.domains, records))
 
-    def holds_until(
+    def valid_until(
         self, known: KeyedRecord, found: KeyedRecord | None
     ) -> Deadline | None:
         """Return until when an evacuation that the store lost stays in force.
--- a/agatetack/hosts/member_directory.py
+++ b/agatetack/hosts/member_directory.py
@@ -101,13 +101,13 @@
         """Call `callback` with one argument, None, after each change."""
         self.callbacks.append(callback)
 
-    def take_all(self, records: Sequence[KeyedRecord]) -> None:
+    def apply_all(self, records: Sequence[KeyedRecord]) -> None:
         """Replace all hosts by those that are registered."""
         self.hosts.clear()
         self.known_records.clear()
-        self.take_new(records)
+        self.apply_new(records)
 
-    def take_new(self, records: Sequence[KeyedRecord]) -> None:
+    def apply_new(self, records: Sequence[KeyedRecord]) -> None:
         """Apply hosts that registered or were removed."""
         for record in records:
             if record.value is None:
@@ -122,7 +122,7 @@
         for callback in self.callbacks:
             callback(None)
 
-    def holds_until(
+    def valid_until(
         self, known: KeyedRecord, found: KeyedRecord | None
     ) -> Deadline | None:
         """Return until when a lost registration stays valid.
@@ -140,7 +140,7 @@
             return None
         return Deadline(trio.current_time() + SEEN_SECONDS)
 
-    def take_lost(self, lost: Sequence[KeyedRecord], place: int | None) -> None:
+    def note_lost(self, lost: Sequence[KeyedRecord], place: int | None) -> None:
         """Note the registrations that the store lost, to write them again."""
         self.lost = {record.key: record.value for record in lost}
         self.place = place
--- a/agatetack/hosts/registered_targets.py
+++ b/agatetack/hosts/registered_targets.py
@@ -93,15 +93,15 @@
                 # registration as evidence against them.
                 self._tell()
 
-    def take_all(self, records: Sequence[KeyedRecord]) -> None:
+    def apply_all(self, records: Sequence[KeyedRecord]) -> None:
         """Apply the existing registrations; all others are missing."""
         present = {r.key for r in records if r.value is not None}
         for key in self.targets.keys() - present:
             self._lose(key)
         self.known = True
-        self.take_new(records)
+        self.apply_new(records)
 
-    def take_new(self, records: Sequence[KeyedRecord]) -> None:
+    def apply_new(self, records: Sequence[KeyedRecord]) -> None:
         """Apply registrations that were added, changed or removed."""
         for record in records:
             if record.value is None:
@@ -110,17 +110,19 @@
                 self._take(record.key, record.value)
         self._tell()
 
-    def take_sound(self, records: Sequence[KeyedRecord], whole: bool) -> None:
+    def apply_confirmed(
+        self, records: Sequence[KeyedRecord], whole: bool
+    ) -> None:
         """Process records from a host that could reach the store all along.
 
         The store may refuse this host while it serves others. Removals that
         another host read then are real and not a result of an outage.
         """
         before, self.doubt_until = self.doubt_until, Deadline(0.0)
-        super().take_sound(records, whole)
+        super().apply_confirmed(records, whole)
         self.doubt_until = before
 
-    def holds_until(
+    def valid_until(
         self, known: KeyedRecord, found: KeyedRecord | None
     ) -> Deadline | None:
         """Return until when a lost registration or removal stays valid."""
@@ -144,11 +146,11 @@
         except BadRegistration:
             return None
 
-    def lost_touch(self) -> None:
+    def note_unreachable(self) -> None:
         """Doubt removals until the store has been reachable for a while."""
         self._doubt_until(Deadline(float("inf")))
 
-    def in_touch(self) -> None:
+    def note_reachable(self) -> None:
         """Doubt past and new removals for `doubt_seconds` from now."""
         now = trio.current_time()
         self._doubt_until(Deadline(now + self.doubt_seconds))
--- a/agatetack/hosts/test_evacuations.py
+++ b/agatetack/hosts/test_evacuations.py
@@ -49,7 +49,7 @@
     told = []
     evacuations = Evacuations(EvacuationNames(), told.append, Metrics())
     for kind, records in steps:
-        take = evacuations.take_all if kind == "all" else evacuations.take_new
+        take = evacuations.apply_all if kind == "all" else evacuations.apply_new
         take(records)
     assert "".join(sorted(evacuations.domains)) == evacuated
     # The listener is called once per change.
--- a/agatetack/hosts/test_registered_targets.py
+++ b/agatetack/hosts/test_registered_targets.py
@@ -29,24 +29,24 @@
         self.targets = RegisteredTargets(
             settings, ServerDecoder(), self.listen, Metrics()
         )
-        self.targets.take_all([])
-        self.targets.in_touch()
+        self.targets.apply_all([])
+        self.targets.note_reachable()
 
     def listen(self, targets):
         self.told = targets
 
     def new(self, **records):
-        self.targets.take_new(
+        self.targets.apply_new(
             [KeyedRecord(k, v, LogOffset(0)) for k, v in records.items()]
         )
 
     def all(self, **records):
-        self.targets.take_all(
+        self.targets.apply_all(
             [KeyedRecord(k, v, LogOffset(0)) for k, v in records.items()]
         )
 
     def sound(self, **records):
-        self.targets.take_sound(
+        self.targets.apply_confirmed(
             [KeyedRecord(k, v, LogOffset(0)) for k, v in records.items()],
             whole=False,
         )
@@ -65,9 +65,9 @@
             if isinstance(step, float):
                 await trio.sleep(step)
             elif step == "lost":
-                book.targets.lost_touch()
+                book.targets.note_unreachable()
             elif step == "back":
-                book.targets.in_touch()
+                book.targets.note_reachable()
             elif step[0] == "all":
                 book.all(**step[1])
             elif step[0] == "sound":
--- a/agatetack/keyed/content.py
+++ b/agatetack/keyed/content.py
@@ -66,25 +66,25 @@
         chosen: dict[str, CarriedRecord] = {}
         for record in candidates:
             other = chosen.get(record.key)
-            if other is not None and self._holds(other.record, record):
+            if other is not None and self._is_valid(other.record, record):
                 continue
             before = self.records.get(record.key)
             if before is not None and before.record == record:
                 # The validity period counts from when it was first carried.
-                if self._holds(record, stored.get(record.key)):
+                if self._is_valid(record, stored.get(record.key)):
                     chosen[record.key] = before
                 continue
-            until = self.reader.holds_until(record, stored.get(record.key))
+            until = self.reader.valid_until(record, stored.get(record.key))
             if until is not None:
                 chosen[record.key] = CarriedRecord(record, until)
         self.records = chosen
         self.changed.set()
         self.changed = trio.Event()
 
-    def _holds(self, record: KeyedRecord, found: KeyedRecord | None) -> bool:
-        return self.reader.holds_until(record, found) is not None
+    def _is_valid(self, record: KeyedRecord, found: KeyedRecord | None) -> bool:
+        return self.reader.valid_until(record, found) is not None
 
-    def laid_over(
+    def overlaid_on(
         self, stored: Mapping[str, KeyedRecord]
     ) -> Sequence[KeyedRecord]:
         """Return the valid records of all keys: the store's and these."""
@@ -100,7 +100,7 @@
             if each.record.value is not None and key not in stored
         ]
 
-    def outlasts(self, record: KeyedRecord) -> bool:
+    def prevails_over(self, record: KeyedRecord) -> bool:
         """Return whether the carried record prevails over the new `record`.
 
         If it does not, it is dropped.
@@ -108,7 +108,7 @@
         carried = self.records.get(record.key)
         if carried is None:
             return False
-        if self._holds(carried.record, record):
+        if self._is_valid(carried.record, record):
             return True
         del self.records[record.key]
         return False
@@ -221,14 +221,14 @@
         self.carried.choose([*candidates.values(), *carried], self.known)
         if lost:
             self._note_lost(page, before, known)
-        return self.holding()
+        return self.valid_records()
 
     def _merge_new(self, page: TopicPage) -> Sequence[KeyedRecord]:
         """Add records that follow; return those that are valid."""
         # Some of them may have come from a peer already.
         records = [r for r in page.records if r.offset >= self.position.offset]
         self.known.update((record.key, record) for record in records)
-        return [r for r in records if not self.carried.outlasts(r)]
+        return [r for r in records if not self.carried.prevails_over(r)]
 
     def _note_lost(
         self,
@@ -260,11 +260,11 @@
         candidates = [each.record for each in self.carried.records.values()]
         self.carried.choose([*candidates, *carried], self.known)
         self.changes += 1
-        return self.holding()
+        return self.valid_records()
 
-    def holding(self) -> Sequence[KeyedRecord]:
+    def valid_records(self) -> Sequence[KeyedRecord]:
         """Return the valid records of all keys."""
-        return self.carried.laid_over(self.known)
+        return self.carried.overlaid_on(self.known)
 
     def expire(self) -> Sequence[KeyedRecord]:
         """Drop expired carried records; return the records that replace them.
--- a/agatetack/keyed/follower.py
+++ b/agatetack/keyed/follower.py
@@ -250,7 +250,7 @@
     def _regained(self) -> None:
         self.reachable = True
         self.in_touch_at = Deadline(trio.current_time())
-        self.reader.in_touch()
+        self.reader.note_reachable()
 
     async def _read_on(self, first: LogOffset) -> TopicPage:
         # After a failure, do not wait for a record: the first answer shows that
@@ -259,7 +259,7 @@
         wait_until = Deadline(trio.current_time() + wait)
         return await self.topic.read(first, wait_until, self._deadline(wait))
 
-    def take_from_peer(
+    def apply_from_peer(
         self,
         page: TopicPage,
         whole: bool,
@@ -307,7 +307,7 @@
             return False
         return page.generation == self.content.position.generation
 
-    def take_carried(self, carried: Sequence[KeyedRecord]) -> None:
+    def apply_carried(self, carried: Sequence[KeyedRecord]) -> None:
         """Process valid records that a peer carries over."""
         records = self.content.carry(carried)
         log.note(
@@ -316,7 +316,7 @@
             keys=sorted(self.content.carried.records)[:MAX_LOGGED_KEYS],
             count=len(self.content.carried.records),
         )
-        self.reader.take_all(records)
+        self.reader.apply_all(records)
         self._pass_lost_to_reader()
         self._show_carried()
 
@@ -351,7 +351,7 @@
         if in_touch:
             self._regained()
         else:
-            self.reader.lost_touch()
+            self.reader.note_unreachable()
 
     @property
     def sound(self) -> bool:
@@ -385,11 +385,11 @@
             count = carried_before - len(self.content.carried.records)
             self._count_ended(CarriedEnd.REPLACED, count)
         if sound:
-            self.reader.take_sound(records, whole)
+            self.reader.apply_confirmed(records, whole)
         elif whole:
-            self.reader.take_all(records)
+            self.reader.apply_all(records)
         elif records:
-            self.reader.take_new(records)
+            self.reader.apply_new(records)
         if whole:
             self._pass_lost_to_reader()
         self._show_carried()
@@ -398,7 +398,7 @@
 
     def _pass_lost_to_reader(self) -> None:
         lost = self.content.carried.lost(self.content.known)
-        self.reader.take_lost(lost, self.readers.place(self.name))
+        self.reader.note_lost(lost, self.readers.place(self.name))
 
     async def _end_carried(self) -> None:
         """Drop expired carried records until cancelled."""
@@ -414,7 +414,7 @@
                 keys=sorted(r.key for r in records)[:MAX_LOGGED_KEYS],
                 count=len(records),
             )
-            self.reader.take_new(records)
+            self.reader.apply_new(records)
             self._show_carried()
 
     def _count_ended(self, result: CarriedEnd, count: int) -> None:
@@ -443,7 +443,7 @@
             )
         if self.reachable:
             self.reachable = False
-            self.reader.lost_touch()
+            self.reader.note_unreachable()
 
     def age_seconds(self) -> float:
         """Return the time since the topic was last read; infinite if never."""
--- a/agatetack/keyed/reader.py
+++ b/agatetack/keyed/reader.py
@@ -11,14 +11,16 @@
     """A consumer of the records of a topic."""
 
     @abc.abstractmethod
-    def take_all(self, records: Sequence[KeyedRecord]) -> None:
+    def apply_all(self, records: Sequence[KeyedRecord]) -> None:
         """Process the newest record of every key; other keys are removed."""
 
     @abc.abstractmethod
-    def take_new(self, records: Sequence[KeyedRecord]) -> None:
+    def apply_new(self, records: Sequence[KeyedRecord]) -> None:
         """Process records that follow those processed before."""
 
-    def take_sound(self, records: Sequence[KeyedRecord], whole: bool) -> None:
+    def apply_confirmed(
+        self, records: Sequence[KeyedRecord], whole: bool
+    ) -> None:
         """Process records from a host that could reach the store all along.
 
         Args:
@@ -26,11 +28,11 @@
             whole: Whether these are all keys and not only later records.
         """
         if whole:
-            self.take_all(records)
+            self.apply_all(records)
         else:
-            self.take_new(records)
+            self.apply_new(records)
 
-    def holds_until(
+    def valid_until(
         self, known: KeyedRecord, found: KeyedRecord | None
     ) -> Deadline | None:
         """Return until when a record of an earlier generation stays valid.
@@ -48,10 +50,10 @@
         """
         return None
 
-    def take_lost(  # noqa: B027
+    def note_lost(  # noqa: B027
         self, lost: Sequence[KeyedRecord], place: int | None
     ) -> None:
-        """Receive the valid records that the store lost, after `take_all`.
+        """Receive the valid records that the store lost, after `apply_all`.
 
         Args:
             lost: The records.
@@ -59,10 +61,10 @@
                 the fleet; None if it is not one of them.
         """
 
-    def lost_touch(self) -> None:  # noqa: B027
+    def note_unreachable(self) -> None:  # noqa: B027
         """Note that the store can't be read any more."""
 
-    def in_touch(self) -> None:  # noqa: B027
+    def note_reachable(self) -> None:  # noqa: B027
         """Note that the store is reachable and its records were processed."""
 
 
@@ -73,39 +75,41 @@
         """Pass records to `readers`, in this order."""
         self.readers = readers
 
-    def take_all(self, records: Sequence[KeyedRecord]) -> None:
+    def apply_all(self, records: Sequence[KeyedRecord]) -> None:
         """Process the newest record of every key; other keys are removed."""
         for reader in self.readers:
-            reader.take_all(records)
+            reader.apply_all(records)
 
-    def take_new(self, records: Sequence[KeyedRecord]) -> None:
+    def apply_new(self, records: Sequence[KeyedRecord]) -> None:
         """Process records that follow those processed before."""
         for reader in self.readers:
-            reader.take_new(records)
+            reader.apply_new(records)
 
-    def take_sound(self, records: Sequence[KeyedRecord], whole: bool) -> None:
+    def apply_confirmed(
+        self, records: Sequence[KeyedRecord], whole: bool
+    ) -> None:
         """Process records from a host that could reach the store all along."""
         for reader in self.readers:
-            reader.take_sound(records, whole)
+            reader.apply_confirmed(records, whole)
 
-    def holds_until(
+    def valid_until(
         self, known: KeyedRecord, found: KeyedRecord | None
     ) -> Deadline | None:
         """Return the time given by the first reader that gives one, or None."""
-        times = (each.holds_until(known, found) for each in self.readers)
+        times = (each.valid_until(known, found) for each in self.readers)
         return next((time for time in times if time is not None), None)
 
-    def take_lost(self, lost: Sequence[KeyedRecord], place: int | None) -> None:
+    def note_lost(self, lost: Sequence[KeyedRecord], place: int | None) -> None:
         """Pass on the valid records that the store lost."""
         for reader in self.readers:
-            reader.take_lost(lost, place)
+            reader.note_lost(lost, place)
 
-    def lost_touch(self) -> None:
+    def note_unreachable(self) -> None:
         """Note that the store can't be read any more."""
         for reader in self.readers:
-            reader.lost_touch()
+            reader.note_unreachable()
 
-    def in_touch(self) -> None:
+    def note_reachable(self) -> None:
         """Note that the store can be read again."""
         for reader in self.readers:
-            reader.in_touch()
+            reader.note_reachable()
--- a/agatetack/keyed/sharing.py
+++ b/agatetack/keyed/sharing.py
@@ -206,7 +206,7 @@
         first = TopicPosition(position.generation, LogOffset(report.first or 0))
         known = follower.content.position
         if known.generation == first.generation and known >= first:
-            follower.take_from_peer(
+            follower.apply_from_peer(
                 page_of(report.news), report.news.whole, bool(report.news.sound)
             )
 
@@ -299,11 +299,11 @@
         carried = carried_of(records)
         if follower.content.is_behind(page.position):
             sound = bool(records.sound)
-            follower.take_from_peer(page, records.whole, sound, carried)
+            follower.apply_from_peer(page, records.whole, sound, carried)
         elif (
             carried and page.generation == follower.content.position.generation
         ):
-            follower.take_carried(carried)
+            follower.apply_carried(carried)
 
     async def _serve_fetch(
         self, sender: HostId, payload: bytes
--- a/agatetack/testing/topic_fleet.py
+++ b/agatetack/testing/topic_fleet.py
@@ -29,12 +29,12 @@
         self.values = {}
         self.told = []
 
-    def take_all(self, records):
+    def apply_all(self, records):
         """Keep `records` alone."""
         self.values.clear()
-        self.take_new(records)
+        self.apply_new(records)
 
-    def take_new(self, records):
+    def apply_new(self, records):
         """Keep `records` too."""
         for record in records:
             if record.value is None:
@@ -42,11 +42,11 @@
             else:
                 self.values[record.key] = record.value
 
-    def lost_touch(self):
+    def note_unreachable(self):
         """Keep that the store was lost."""
         self.told.append("lost")
 
-    def in_touch(self):
+    def note_reachable(self):
         """Keep that the store is back."""
         self.told.append("in touch")
 
