--- a/agatetack/hosts/directory.py
+++ b/agatetack/hosts/directory.py
@@ -56,7 +56,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class _Vanished:
+class _RecentRemoval:
     """A recently removed entry, counted when later removals are judged."""
 
     service: ServiceId
@@ -96,10 +96,10 @@
         self.callbacks: list[ChangeCallback] = []
         self.entries: dict[HostId, ListedHost] = {}
         self.held: dict[HostId, Deadline] = {}
-        self.vanished: dict[HostId, _Vanished] = {}
+        self.recent_removals: dict[HostId, _RecentRemoval] = {}
         self.last_fetch: Sequence[ListedHost] | None = None
         self.reachable = True
-        self.told_at = Deadline(-math.inf)
+        self.notified_at = Deadline(-math.inf)
         self.fetches = metrics.counter(
             "agatetack_host_list_fetches_total",
             "Reads of the platform's list of hosts, by result.",
@@ -173,8 +173,8 @@
         if fetched is not self.last_fetch or self.held:
             self.last_fetch = fetched
             self._apply({host.id: host for host in fetched})
-        if trio.current_time() >= self.told_at + REPEAT_SECONDS:
-            self._tell(NO_CHANGE)
+        if trio.current_time() >= self.notified_at + REPEAT_SECONDS:
+            self._notify(NO_CHANGE)
 
     def _apply(self, fetched: dict[HostId, ListedHost]) -> None:
         missing = [
@@ -182,7 +182,7 @@
             for host in self.entries.values()
             if host.id not in fetched and host.state is not HostState.LEAVING
         ]
-        self._hold_mass_leaving(missing)
+        self._hold_mass_removal(missing)
         merged = dict(fetched)
         for key in self.held:
             merged[key] = self.entries[key]
@@ -191,25 +191,27 @@
             self.entries = merged
             self.hosts = tuple(merged.values())
             self._count_listed()
-            self._tell(change)
+            self._notify(change)
 
-    def _tell(self, change: ListChange) -> None:
-        self.told_at = Deadline(trio.current_time())
+    def _notify(self, change: ListChange) -> None:
+        self.notified_at = Deadline(trio.current_time())
         for callback in self.callbacks:
             callback(change)
 
-    def _hold_mass_leaving(self, missing: Sequence[ListedHost]) -> None:
+    def _hold_mass_removal(self, missing: Sequence[ListedHost]) -> None:
         now = trio.current_time()
         until = Deadline(now + self.settings.shrink_hold_seconds)
         self._forget_old_losses(now)
         kept: dict[HostId, Deadline] = {}
-        massive = self._services_shrunk(missing)
+        shrunk = self._services_shrunk(missing)
         for host in missing:
             held_until = self.held.get(host.id, until)
-            if host.service in massive and held_until > now:
+            if host.service in shrunk and held_until > now:
                 kept[host.id] = held_until
             else:
-                self.vanished[host.id] = _Vanished(host.service, until)
+                self.recent_removals[host.id] = _RecentRemoval(
+                    host.service, until
+                )
         if len(kept) > len(self.held):
             LOG.warning("Too many vanished at once; %d are kept.", len(kept))
         self.held = kept
@@ -218,7 +220,7 @@
         """Return the services that lost too many; "" means the gateways."""
         if not missing:
             return set()
-        lost_lately = [loss.service for loss in self.vanished.values()]
+        lost_lately = [loss.service for loss in self.recent_removals.values()]
         sizes = collections.Counter(
             host.service for host in self.entries.values()
         )
@@ -233,9 +235,9 @@
         }
 
     def _forget_old_losses(self, now: float) -> None:
-        self.vanished = {
+        self.recent_removals = {
             key: loss
-            for key, loss in self.vanished.items()
+            for key, loss in self.recent_removals.items()
             if loss.counts_until > now
         }
 
--- a/agatetack/hosts/evacuations.py
+++ b/agatetack/hosts/evacuations.py
@@ -20,7 +20,7 @@
 """How long an evacuation stays in force after the store lost it, unless it is
 written again. If it ended meanwhile, the store may have no record of that."""
 
-Listen = Callable[[Set[FailureDomain]], None]
+DomainsCallback = Callable[[Set[FailureDomain]], None]
 """Called with all evacuated failure domains after each change; must not block
 or raise."""
 
@@ -46,7 +46,9 @@
         domains: The failure domains.
     """
 
-    def __init__(self, keys: EvacuationKeys, listen: Listen, metrics: Metrics):
+    def __init__(
+        self, keys: EvacuationKeys, listen: DomainsCallback, metrics: Metrics
+    ):
         """Call `listen` after each change."""
         self.keys = keys
         self.listen = listen
--- a/agatetack/hosts/http_host_list.py
+++ b/agatetack/hosts/http_host_list.py
@@ -28,16 +28,16 @@
 OK = 200
 NOT_MODIFIED = 304
 
-GZIP_WINDOW = 31
+GZIP_WBITS = 31
 """The zlib `wbits` value that accepts only the gzip format."""
 
 MAX_LIST_BYTES = 16 << 20
 """Maximum size of the list; ten times the size designed for."""
 
-ENTRIES_AT_ONCE = 200
+ENTRIES_PER_CHECKPOINT = 200
 """Number of entries parsed before other tasks may run."""
 
-SHOWN_FINDINGS = 5
+MAX_SHOWN_FINDINGS = 5
 """Maximum invalid entries shown in one log line; the rest are only counted."""
 
 LISTED_HOST = pydantic.TypeAdapter(ListedHost)
@@ -103,14 +103,14 @@
         findings: list[str] = []
         for place, entry in enumerate(_entries(reply)):
             # Parsing a long list must not delay requests in this process.
-            if place % ENTRIES_AT_ONCE == 0:
+            if place % ENTRIES_PER_CHECKPOINT == 0:
                 await trio.lowlevel.checkpoint()
             try:
                 hosts.append(_read_entry(entry, known))
             except ValueError as error:
                 findings.append(f"entry {place}: {_first_line(error)}")
         if findings:
-            shown = "; ".join(findings[:SHOWN_FINDINGS])
+            shown = "; ".join(findings[:MAX_SHOWN_FINDINGS])
             LOG.warning("%d odd entries left out: %s.", len(findings), shown)
         etag = reply.headers.get(b"etag")
         self.hosts = tuple(hosts)
@@ -162,7 +162,7 @@
 
 
 def _decompress(body: bytes) -> bytes:
-    decoder = zlib.decompressobj(wbits=GZIP_WINDOW)
+    decoder = zlib.decompressobj(wbits=GZIP_WBITS)
     content = decoder.decompress(body, MAX_LIST_BYTES)
     if not decoder.eof:
         raise HostListUnavailable("the list is cut or too long")
--- a/agatetack/hosts/member_directory.py
+++ b/agatetack/hosts/member_directory.py
@@ -18,11 +18,11 @@
 
 log = DecisionLog("members")
 
-GATHER_SECONDS = 0.1
+BATCH_SECONDS = 0.1
 """How long registrations requested by other hosts are batched, so that hundreds
 of hosts that start together cost only a few store calls."""
 
-OTHERS_SECONDS = 2.5
+OTHER_REGISTRATION_SECONDS = 2.5
 """How long a host waits to see that another host has registered it: 0.1 s for
 batching, 0.5 s until a reader has read the record, and the rest until the
 reader has reported it to this host."""
@@ -33,11 +33,11 @@
 registrations that the store lost. It covers one call and the read that shows
 the result to the others."""
 
-MOST_REWRITERS = 4
+MAX_REWRITERS = 4
 """Maximum number of hosts that rewrite registrations of all hosts. Any other
 host rewrites only its own."""
 
-SEEN_SECONDS = 10.0
+CONFIRM_SECONDS = 10.0
 """How long a host waits to see its own registration before it registers
 again."""
 
@@ -138,7 +138,7 @@
             return Deadline(math.inf)
         if found.value is None or found.value == known.value:
             return None
-        return Deadline(trio.current_time() + SEEN_SECONDS)
+        return Deadline(trio.current_time() + CONFIRM_SECONDS)
 
     def note_lost(self, lost: Sequence[KeyedRecord], place: int | None) -> None:
         """Note the registrations that the store lost, to write them again."""
@@ -147,7 +147,7 @@
         if self.lost:
             self.loss.set()
 
-    async def replace_lost(self) -> None:
+    async def rewrite_lost(self) -> None:
         """Rewrite registrations that the store lost, until cancelled.
 
         Unlike targets and operators, hosts do not rewrite their records
@@ -157,8 +157,8 @@
             await self.loss.wait()
             self.loss = trio.Event()
             place = self.place
-            for_all = place is not None and place < MOST_REWRITERS
-            step = place if for_all else MOST_REWRITERS + random.random()
+            for_all = place is not None and place < MAX_REWRITERS
+            step = place if for_all else MAX_REWRITERS + random.random()
             await trio.sleep(step * REWRITE_STEP_SECONDS)
             missing = {
                 host: content
@@ -192,28 +192,28 @@
         record = MemberRecord(listen.host, port, domain)
         return msgspec.json.encode(record)
 
-    async def register(self, port: int, others_do: bool = False) -> None:
+    async def register(self, port: int, requested: bool = False) -> None:
         """Register this host unless its last registration is still correct.
 
         Args:
             port: The port for peers.
-            others_do: Whether another host was asked to register this one,
+            requested: Whether another host was asked to register this one,
                 so that this host first waits for it.
         """
         await self.read.wait()
-        if others_do:
-            with trio.move_on_after(OTHERS_SECONDS):
+        if requested:
+            with trio.move_on_after(OTHER_REGISTRATION_SECONDS):
                 while not self._is_registered(port):
-                    await trio.sleep(GATHER_SECONDS)
+                    await trio.sleep(BATCH_SECONDS)
         if self._is_registered(port):
             self.registrations.inc({"result": "kept"})
             return
         while not self._is_registered(port):
             await self._append({self.own: self.own_record(port)})
             # The store may lose an acknowledged record before it is read.
-            with trio.move_on_after(SEEN_SECONDS):
+            with trio.move_on_after(CONFIRM_SECONDS):
                 while not self._is_registered(port):
-                    await trio.sleep(GATHER_SECONDS)
+                    await trio.sleep(BATCH_SECONDS)
 
     def _is_registered(self, port: int) -> bool:
         own = self.hosts.get(self.own)
@@ -238,7 +238,7 @@
         """Register the hosts that requested it, until cancelled."""
         while True:
             await self.asked.wait()
-            await trio.sleep(GATHER_SECONDS)
+            await trio.sleep(BATCH_SECONDS)
             self.asked = trio.Event()
             waiting, self.waiting = self.waiting, {}
             if waiting:
--- a/agatetack/hosts/registered_targets.py
+++ b/agatetack/hosts/registered_targets.py
@@ -35,7 +35,7 @@
 REPEAT_SECONDS = 2.0
 """How often the listener is called when nothing changes."""
 
-Listen = Callable[[Sequence[ListedTarget]], None]
+TargetsCallback = Callable[[Sequence[ListedTarget]], None]
 """Called with all targets after each change; must not block or raise."""
 
 
@@ -61,7 +61,7 @@
         self,
         settings: Settings,
         decoder: RegistrationDecoder,
-        listen: Listen,
+        listen: TargetsCallback,
         metrics: Metrics,
     ):
         """Call `listen` after each change."""
@@ -91,13 +91,13 @@
             if trio.current_time() >= repeat_at:
                 # Listeners that weigh signs of a target's leaving use its
                 # registration as evidence against them.
-                self._tell()
+                self._notify()
 
     def apply_all(self, records: Sequence[KeyedRecord]) -> None:
         """Apply the existing registrations; all others are missing."""
         present = {r.key for r in records if r.value is not None}
         for key in self.targets.keys() - present:
-            self._lose(key)
+            self._handle_missing(key)
         self.known = True
         self.apply_new(records)
 
@@ -105,10 +105,10 @@
         """Apply registrations that were added, changed or removed."""
         for record in records:
             if record.value is None:
-                self._lose(record.key)
+                self._handle_missing(record.key)
             else:
                 self._take(record.key, record.value)
-        self._tell()
+        self._notify()
 
     def apply_confirmed(
         self, records: Sequence[KeyedRecord], whole: bool
@@ -215,7 +215,7 @@
             state = target.state.value
             log.note("target-state", target=target.id, state=state)
 
-    def _lose(self, key: str) -> None:
+    def _handle_missing(self, key: str) -> None:
         target = self.targets.get(key)
         if target is None:
             return
@@ -244,9 +244,9 @@
         for key in over:
             self._remove(key, "still-missing")
         if over:
-            self._tell()
+            self._notify()
 
-    def _tell(self) -> None:
+    def _notify(self) -> None:
         self.listen(tuple(self.targets.values()))
 
 
--- a/agatetack/hosts/test_lost_records.py
+++ b/agatetack/hosts/test_lost_records.py
@@ -43,7 +43,7 @@
     return orjson.dumps({"version": version, "routes": [], "services": []})
 
 
-class Drill:
+class LossHarness:
     """A store that loses records, and hosts that follow it.
 
     Attributes:
@@ -89,15 +89,15 @@
 
 
 @contextlib.asynccontextmanager
-async def drill(make, hosts=14, **records):
+async def start_harness(make, hosts=14, **records):
     """Start hosts and let them read `records`."""
     async with trio.open_nursery() as nursery:
-        play = Drill(nursery, make)
-        play.write(**records)
+        harness = LossHarness(nursery, make)
+        harness.write(**records)
         for _ in range(hosts):
-            play.add_host()
+            harness.add_host()
         await trio.sleep(KNOWN_SECONDS)
-        yield play
+        yield harness
         nursery.cancel_scope.cancel()
 
 
@@ -118,11 +118,11 @@
     return Evacuations(EvacuationNames(), lambda domains: None, Metrics())
 
 
-def states(play):
+def states(harness):
     """Return the state of each target; check that all hosts agree."""
     found = [
         {key: target.state for key, target in each.targets.items()}
-        for each in play.readers
+        for each in harness.readers
     ]
     assert all(each == found[0] for each in found)
     return found[0]
@@ -151,14 +151,14 @@
 async def test_targets_hold_though_the_store_lost_their_registrations(
     autojump_clock, lost, believed, later
 ):
-    async with drill(make_targets, a=entry(3)) as play:
-        await play.lose(**lost)
-        assert states(play) == believed
+    async with start_harness(make_targets, a=entry(3)) as harness:
+        await harness.lose(**lost)
+        assert states(harness) == believed
         await trio.sleep(LOST_TARGET_SECONDS)
-        assert states(play) == later
+        assert states(harness) == later
         await trio.sleep(OUTDATED_SECONDS)
         # The store's records apply in the end.
-        assert states(play) == {"a": LIVE}
+        assert states(harness) == {"a": LIVE}
 
 
 @pytest.mark.parametrize(
@@ -178,31 +178,31 @@
 async def test_what_targets_write_again_is_believed(
     autojump_clock, lost, rewritten, believed
 ):
-    async with drill(make_targets, a=entry(3)) as play:
-        await play.lose(**lost)
-        play.write(**rewritten)
+    async with start_harness(make_targets, a=entry(3)) as harness:
+        await harness.lose(**lost)
+        harness.write(**rewritten)
         await trio.sleep(0.5)
-        assert states(play) == believed
+        assert states(harness) == believed
         await trio.sleep(LOST_TARGET_SECONDS)
-        assert states(play) == believed
+        assert states(harness) == believed
 
 
-def versions(play):
-    return {each.version for each in play.readers}
+def versions(harness):
+    return {each.version for each in harness.readers}
 
 
 @pytest.mark.parametrize("others", [0, 1, 2])
 async def test_the_newest_document_stays_in_force(autojump_clock, others):
-    async with drill(make_documents, config=document(21)) as play:
-        await play.lose(config=document(24))
-        assert versions(play) == {24}
+    async with start_harness(make_documents, config=document(21)) as harness:
+        await harness.lose(config=document(24))
+        assert versions(harness) == {24}
         # Reused offsets must not matter.
         for number in range(others):
-            play.write(**{f"other{number}": b"x"})
+            harness.write(**{f"other{number}": b"x"})
         for written, in_force in ((21, 24), (24, 24), (27, 27), (29, 29)):
-            play.write(config=document(written))
+            harness.write(config=document(written))
             await trio.sleep(KNOWN_SECONDS)
-            assert versions(play) == {in_force}
+            assert versions(harness) == {in_force}
 
 
 @pytest.mark.parametrize(
@@ -216,23 +216,23 @@
 async def test_an_evacuation_holds_though_the_store_lost_it(
     autojump_clock, before, lost, believed, later
 ):
-    async with drill(make_evacuations, **before) as play:
-        await play.lose(**lost)
-        assert all(each.domains == believed for each in play.readers)
+    async with start_harness(make_evacuations, **before) as harness:
+        await harness.lose(**lost)
+        assert all(each.domains == believed for each in harness.readers)
         await trio.sleep(LOST_EVACUATION_SECONDS)
-        assert all(each.domains == later for each in play.readers)
+        assert all(each.domains == later for each in harness.readers)
 
 
 @pytest.mark.parametrize("rewritten", [b"1", None])
 async def test_an_evacuation_that_is_written_again_is_believed(
     autojump_clock, rewritten
 ):
-    async with drill(make_evacuations) as play:
-        await play.lose(evacuate_z=b"1")
-        play.write(evacuate_z=rewritten)
+    async with start_harness(make_evacuations) as harness:
+        await harness.lose(evacuate_z=b"1")
+        harness.write(evacuate_z=rewritten)
         await trio.sleep(LOST_EVACUATION_SECONDS + KNOWN_SECONDS)
         wanted = {"z"} if rewritten else set()
-        assert all(each.domains == wanted for each in play.readers)
+        assert all(each.domains == wanted for each in harness.readers)
 
 
 # Guards against a host using an older document because it started before the
@@ -241,27 +241,27 @@
 async def test_a_host_that_starts_after_a_loss_holds_what_others_hold(
     autojump_clock, seeded
 ):
-    async with drill(make_documents, config=document(21)) as play:
-        await play.lose(config=document(24))
-        play.add_host()
+    async with start_harness(make_documents, config=document(21)) as harness:
+        await harness.lose(config=document(24))
+        harness.add_host()
         if seeded:
-            told = play.hosts[0].follower
+            told = harness.hosts[0].follower
             page, _ = told.content.records_since(None)
             carried = [
                 each.record for each in told.content.carried.records.values()
             ]
-            play.hosts[-1].follower.start_from(page, True, carried)
+            harness.hosts[-1].follower.start_from(page, True, carried)
         await trio.sleep(KNOWN_SECONDS)
-        assert versions(play) == {24}
-        play.write(config=document(27))
+        assert versions(harness) == {24}
+        harness.write(config=document(27))
         await trio.sleep(KNOWN_SECONDS)
-        assert versions(play) == {27}
+        assert versions(harness) == {27}
 
 
 def member_maker(nursery):
     def make(topic):
         members = MemberDirectory(SETTINGS, topic, Metrics())
-        nursery.start_soon(members.replace_lost)
+        nursery.start_soon(members.rewrite_lost)
         return members
 
     return make
@@ -276,11 +276,11 @@
 ):
     appends = []
     async with trio.open_nursery() as nursery:
-        play = Drill(nursery, member_maker(nursery))
+        harness = LossHarness(nursery, member_maker(nursery))
         for _ in range(hosts):
-            play.add_host()
+            harness.add_host()
         await trio.sleep(KNOWN_SECONDS)
-        for host in play.hosts:
+        for host in harness.hosts:
             append = host.topic.append_all
 
             async def count(values, deadline, append=append):
@@ -289,11 +289,11 @@
 
             host.topic.append_all = count
         names = [f"m{number}" for number in range(hosts)]
-        await play.lose(**dict.fromkeys(names, MEMBER))
+        await harness.lose(**dict.fromkeys(names, MEMBER))
         # The list must never be too short meanwhile.
-        assert all(len(each.hosts) == hosts for each in play.readers)
+        assert all(len(each.hosts) == hosts for each in harness.readers)
         await trio.sleep(3 * KNOWN_SECONDS)
-        assert sorted(play.store.topics[NAME].newest) == sorted(names)
-        assert all(not each.lost for each in play.readers)
+        assert sorted(harness.store.topics[NAME].newest) == sorted(names)
+        assert all(not each.lost for each in harness.readers)
         assert len(appends) == 1
         nursery.cancel_scope.cancel()
--- a/agatetack/hosts/test_registered_targets.py
+++ b/agatetack/hosts/test_registered_targets.py
@@ -12,18 +12,18 @@
 from agatetack.settings.defaults import default_settings
 from agatetack.testing.server_entry import server_entry as entry
 
-DOUBT = 2.0
+DOUBT_SECONDS = 2.0
 
 READY = entry()
 DRAINING = entry(sequence=2, state="draining")
 
 
-class Book:
+class TargetsHarness:
     """The targets of one host, and the last list passed to its listener."""
 
     def __init__(self):
         settings = default_settings(
-            platform={"store": {"doubt_seconds": DOUBT}}
+            platform={"store": {"doubt_seconds": DOUBT_SECONDS}}
         )
         self.told = ()
         self.targets = RegisteredTargets(
@@ -56,27 +56,27 @@
         return {target.id for target in self.told}
 
 
-async def play(steps):
-    book = Book()
+async def run_steps(steps):
+    harness = TargetsHarness()
     async with trio.open_nursery() as nursery:
-        nursery.start_soon(book.targets.run)
-        await trio.sleep(DOUBT + 1)
+        nursery.start_soon(harness.targets.run)
+        await trio.sleep(DOUBT_SECONDS + 1)
         for step in steps:
             if isinstance(step, float):
                 await trio.sleep(step)
             elif step == "lost":
-                book.targets.note_unreachable()
+                harness.targets.note_unreachable()
             elif step == "back":
-                book.targets.note_reachable()
+                harness.targets.note_reachable()
             elif step[0] == "all":
-                book.all(**step[1])
+                harness.all(**step[1])
             elif step[0] == "sound":
-                book.sound(**step[1])
+                harness.sound(**step[1])
             else:
-                book.new(**step[1])
+                harness.new(**step[1])
         await trio.sleep(0.01)
         nursery.cancel_scope.cancel()
-    return book
+    return harness
 
 
 def new(**records):
@@ -146,12 +146,12 @@
     ],
 )
 async def test_which_targets_are_believed(autojump_clock, steps, believed):
-    assert (await play(steps)).ids == believed
+    assert (await run_steps(steps)).ids == believed
 
 
 async def test_a_change_of_state_is_told(autojump_clock):
-    book = await play([new(a=READY), new(a=DRAINING)])
-    assert [target.state for target in book.told] == [HostState.LEAVING]
+    harness = await run_steps([new(a=READY), new(a=DRAINING)])
+    assert [target.state for target in harness.told] == [HostState.LEAVING]
 
 
 @pytest.mark.parametrize(
@@ -180,7 +180,7 @@
 async def test_what_a_target_said_last_holds(
     autojump_clock, steps, incarnation, state
 ):
-    book = await play([new(a=step) for step in steps])
-    assert [(t.incarnation, t.state) for t in book.told] == [
+    harness = await run_steps([new(a=step) for step in steps])
+    assert [(t.incarnation, t.state) for t in harness.told] == [
         (incarnation, state)
     ]
--- a/agatetack/keyed/test_seeds.py
+++ b/agatetack/keyed/test_seeds.py
@@ -192,7 +192,9 @@
 
 
 async def test_a_host_that_no_seed_registers_does_it_itself(monkeypatch):
-    monkeypatch.setattr("agatetack.hosts.member_directory.OTHERS_SECONDS", 0.2)
+    monkeypatch.setattr(
+        "agatetack.hosts.member_directory.OTHER_REGISTRATION_SECONDS", 0.2
+    )
     async with store_fleet() as fleet:
         seed = fleet.gateways[0]
         seed.members.register_other = lambda host, content: None
--- a/agatetack/store_gateway.py
+++ b/agatetack/store_gateway.py
@@ -255,7 +255,7 @@
             nursery.start_soon(self.sharing.run)
             nursery.start_soon(self.targets.run)
             nursery.start_soon(self.members.register_others)
-            nursery.start_soon(self.members.replace_lost)
+            nursery.start_soon(self.members.rewrite_lost)
             peers_port = await nursery.start(self.peers.run)
             self.seed_port = await nursery.start(self.seed_server.run)
             await self._read_store(nursery, peers_port)
