--- a/agatetack/hosts/test_evacuations.py
+++ b/agatetack/hosts/test_evacuations.py
@@ -46,12 +46,12 @@
     ],
 )
 def test_what_is_evacuated_after_records(steps, evacuated):
-    told = []
-    evacuations = Evacuations(EvacuationNames(), told.append, Metrics())
+    calls = []
+    evacuations = Evacuations(EvacuationNames(), calls.append, Metrics())
     for kind, records in steps:
         take = evacuations.apply_all if kind == "all" else evacuations.apply_new
         take(records)
     assert "".join(sorted(evacuations.domains)) == evacuated
     # The listener is called once per change.
-    assert all(a != b for a, b in zip(told, told[1:], strict=False))
-    assert (told[-1] if told else frozenset()) == evacuations.domains
+    assert all(a != b for a, b in zip(calls, calls[1:], strict=False))
+    assert (calls[-1] if calls else frozenset()) == evacuations.domains
--- a/agatetack/hosts/test_host_list_contract.py
+++ b/agatetack/hosts/test_host_list_contract.py
@@ -34,8 +34,8 @@
 
 World = PlatformWorld
 REAL_LIST = os.environ.get("AGATETACK_HOST_LIST")
-PATIENCE_SECONDS = 5.0
-TRY_SECONDS = 0.05
+TIMEOUT_SECONDS = 5.0
+SHORT_TIMEOUT_SECONDS = 0.05
 FLEET_SIZE = 9800
 
 
@@ -52,7 +52,7 @@
     )
 
 
-def soon(seconds: float = PATIENCE_SECONDS) -> Deadline:
+def deadline_in(seconds: float = TIMEOUT_SECONDS) -> Deadline:
     return Deadline(trio.current_time() + seconds)
 
 
@@ -73,11 +73,11 @@
     async with WORLDS[name]() as world:
         world.source.hosts = hosts
         for _ in range(2):
-            assert list(await world.host_list.fetch(soon())) == hosts
-        world.source.publish([host(7)], lag_seconds=TRY_SECONDS)
-        assert list(await world.host_list.fetch(soon())) == hosts
-        await trio.sleep(TRY_SECONDS)
-        assert list(await world.host_list.fetch(soon())) == [host(7)]
+            assert list(await world.host_list.fetch(deadline_in())) == hosts
+        world.source.publish([host(7)], lag_seconds=SHORT_TIMEOUT_SECONDS)
+        assert list(await world.host_list.fetch(deadline_in())) == hosts
+        await trio.sleep(SHORT_TIMEOUT_SECONDS)
+        assert list(await world.host_list.fetch(deadline_in())) == [host(7)]
 
 
 @dataclasses.dataclass(frozen=True)
@@ -89,7 +89,7 @@
     over_http: bool = False
 
 
-def of_list(**values: object) -> Callable[[World], None]:
+def on_source(**values: object) -> Callable[[World], None]:
     def begin(world: World) -> None:
         for name, value in values.items():
             setattr(world.source, name, value)
@@ -97,7 +97,7 @@
     return begin
 
 
-def of_way(**values: int) -> Callable[[World], None]:
+def on_http(**values: int) -> Callable[[World], None]:
     def begin(world: World) -> None:
         for name, value in values.items():
             setattr(world.http, name, value)
@@ -106,11 +106,11 @@
 
 
 FAULTS = (
-    Fault("outage", of_list(outage=True)),
-    Fault("too slow", of_list(delay_seconds=60.0)),
-    Fault("cut reply", of_way(cut_replies=1), True),
-    Fault("bare 503", of_way(bare_errors=1), True),
-    Fault("malformed", of_way(malformed_replies=1), True),
+    Fault("outage", on_source(outage=True)),
+    Fault("too slow", on_source(delay_seconds=60.0)),
+    Fault("cut reply", on_http(cut_replies=1), True),
+    Fault("bare 503", on_http(bare_errors=1), True),
+    Fault("malformed", on_http(malformed_replies=1), True),
 )
 
 FAULT_CASES = [
@@ -133,21 +133,24 @@
     hosts = [host(1), host(2)]
     async with WORLDS[name]() as world:
         world.source.hosts = [host(1)]
-        await world.host_list.fetch(soon())
+        await world.host_list.fetch(deadline_in())
         world.source.hosts = hosts
         for fault in faults:
             fault.begin(world)
         with pytest.raises(HostListUnavailable):
-            await world.host_list.fetch(soon(TRY_SECONDS))
+            await world.host_list.fetch(deadline_in(SHORT_TIMEOUT_SECONDS))
         await world.heal()
-        assert list(await world.host_list.fetch(soon())) == hosts
+        assert list(await world.host_list.fetch(deadline_in())) == hosts
 
 
 async def test_odd_entries_are_left_out_with_their_place():
     async with http_world() as world:
         odd = [dataclasses.replace(host(1), ip="a.example"), {"id": "x"}, 3]
         world.source.hosts = [host(1), *odd, host(2)]
-        assert list(await world.host_list.fetch(soon())) == [host(1), host(2)]
+        assert list(await world.host_list.fetch(deadline_in())) == [
+            host(1),
+            host(2),
+        ]
         places = [
             finding.partition(":")[0] for finding in world.host_list.findings
         ]
@@ -157,8 +160,8 @@
 async def test_an_unchanged_list_is_not_sent_again():
     async with http_world() as world:
         world.source.hosts = [host(1)]
-        first = await world.host_list.fetch(soon())
-        assert await world.host_list.fetch(soon()) is first
+        first = await world.host_list.fetch(deadline_in())
+        assert await world.host_list.fetch(deadline_in()) is first
 
 
 JSON = strategies.recursive(
@@ -196,5 +199,5 @@
 
     async def test_real_list():
         async with real_world(REAL_LIST) as world:
-            await world.host_list.fetch(soon())
+            await world.host_list.fetch(deadline_in())
             assert not world.host_list.findings
--- a/agatetack/hosts/test_lost_records.py
+++ b/agatetack/hosts/test_lost_records.py
@@ -245,10 +245,10 @@
         await harness.lose(config=document(24))
         harness.add_host()
         if seeded:
-            told = harness.hosts[0].follower
-            page, _ = told.content.records_since(None)
+            seed = harness.hosts[0].follower
+            page, _ = seed.content.records_since(None)
             carried = [
-                each.record for each in told.content.carried.records.values()
+                each.record for each in seed.content.carried.records.values()
             ]
             harness.hosts[-1].follower.start_from(page, True, carried)
         await trio.sleep(KNOWN_SECONDS)
--- a/agatetack/hosts/test_registered_targets.py
+++ b/agatetack/hosts/test_registered_targets.py
@@ -25,7 +25,7 @@
         settings = default_settings(
             platform={"store": {"doubt_seconds": DOUBT_SECONDS}}
         )
-        self.told = ()
+        self.listed = ()
         self.targets = RegisteredTargets(
             settings, ServerDecoder(), self.listen, Metrics()
         )
@@ -33,7 +33,7 @@
         self.targets.note_reachable()
 
     def listen(self, targets):
-        self.told = targets
+        self.listed = targets
 
     def new(self, **records):
         self.targets.apply_new(
@@ -53,7 +53,7 @@
 
     @property
     def ids(self):
-        return {target.id for target in self.told}
+        return {target.id for target in self.listed}
 
 
 async def run_steps(steps):
@@ -151,7 +151,7 @@
 
 async def test_a_change_of_state_is_told(autojump_clock):
     harness = await run_steps([new(a=READY), new(a=DRAINING)])
-    assert [target.state for target in harness.told] == [HostState.LEAVING]
+    assert [target.state for target in harness.listed] == [HostState.LEAVING]
 
 
 @pytest.mark.parametrize(
@@ -181,6 +181,6 @@
     autojump_clock, steps, incarnation, state
 ):
     harness = await run_steps([new(a=step) for step in steps])
-    assert [(t.incarnation, t.state) for t in harness.told] == [
+    assert [(t.incarnation, t.state) for t in harness.listed] == [
         (incarnation, state)
     ]
--- a/agatetack/keyed/content.py
+++ b/agatetack/keyed/content.py
@@ -274,5 +274,5 @@
         keys = self.carried.expire()
         if keys:
             self.changes += 1
-        gone = [KeyedRecord(key, None, self.next_offset) for key in keys]
-        return [self.known.get(each.key, each) for each in gone]
+        removals = [KeyedRecord(key, None, self.next_offset) for key in keys]
+        return [self.known.get(each.key, each) for each in removals]
--- a/agatetack/keyed/follower.py
+++ b/agatetack/keyed/follower.py
@@ -105,7 +105,7 @@
         on_advance: Called after the read position has advanced, with this
             follower and its previous position.
         reachable: Whether the last call was answered.
-        in_touch_at: When the store last became reachable again.
+        reachable_since: When the store last became reachable again.
         peer_wait_factor: This host's factor on the time that it waits for
             records of others.
         read_at: When the last call was answered, or None.
@@ -145,7 +145,7 @@
         ] = _report_to_nobody
         self.reading = trio.CancelScope()
         self.reachable = False
-        self.in_touch_at = Deadline(0.0)
+        self.reachable_since = Deadline(0.0)
         self.read_at: Deadline | None = None
         self.failures = 0
         self.random = rng
@@ -241,15 +241,15 @@
                 offset=page.end,
                 generation=page.generation,
             )
-            self._regained()
+            self._note_reachable()
         if page.records:
             # Batch records that follow shortly into the next read, so that a
             # burst of changes does not cost one call per change.
             await trio.sleep(self.limits.batch_seconds)
 
-    def _regained(self) -> None:
+    def _note_reachable(self) -> None:
         self.reachable = True
-        self.in_touch_at = Deadline(trio.current_time())
+        self.reachable_since = Deadline(trio.current_time())
         self.reader.note_reachable()
 
     async def _read_on(self, first: LogOffset) -> TopicPage:
@@ -277,9 +277,9 @@
             sound: Whether the peer could reach the store all along lately.
             carried: Records of earlier generations that the peer carries.
         """
-        if not self.content.is_behind(page.position) or not self._may_be_of(
-            page
-        ):
+        if not self.content.is_behind(
+            page.position
+        ) or not self._is_known_generation(page):
             return
         if not whole and not self._follows(page):
             self._count("peer-partial")
@@ -297,7 +297,7 @@
         self._take(page, whole, sound, carried)
         self.reading.cancel()
 
-    def _may_be_of(self, page: TopicPage) -> bool:
+    def _is_known_generation(self, page: TopicPage) -> bool:
         """Return whether `page` is not newer than the known generation."""
         return page.generation <= self.generations.newest
 
@@ -337,7 +337,9 @@
             carried: Records of earlier generations that that host carries
                 over.
         """
-        if self.content.position is not None or not self._may_be_of(page):
+        if self.content.position is not None or not self._is_known_generation(
+            page
+        ):
             return
         self._count("seed")
         log.note(
@@ -349,7 +351,7 @@
         )
         self._take(page, whole=True, carried=carried)
         if in_touch:
-            self._regained()
+            self._note_reachable()
         else:
             self.reader.note_unreachable()
 
@@ -359,7 +361,7 @@
 
         Earlier removals may be a result of the store's own outage.
         """
-        quiet = trio.current_time() - self.in_touch_at
+        quiet = trio.current_time() - self.reachable_since
         return self.reachable and quiet > self.limits.doubt_seconds
 
     @property
--- a/agatetack/keyed/generations.py
+++ b/agatetack/keyed/generations.py
@@ -15,7 +15,7 @@
 from agatetack.ids import Deadline, StoreGeneration
 from agatetack.metrics import Metrics
 
-NOT_NAMED = StoreGeneration(-1)
+UNKNOWN_GENERATION = StoreGeneration(-1)
 """The generation while the store has reported none; sorts before all others."""
 
 MAX_GENERATION = 10**12
@@ -86,14 +86,14 @@
     """The newest generation of the store that this host knows of.
 
     Attributes:
-        newest: The newest known generation, or `NOT_NAMED`.
+        newest: The newest known generation, or `UNKNOWN_GENERATION`.
         learned_at: When this host learned of it; None if it knows none.
         watchers: Called after each new generation; must not block or raise.
     """
 
     def __init__(self, metrics: Metrics):
         """Start without a known generation; count in `metrics`."""
-        self.newest = NOT_NAMED
+        self.newest = UNKNOWN_GENERATION
         self.learned_at: Deadline | None = None
         self.watchers: list[Callable[[], None]] = []
         self.learned = metrics.counter(
@@ -122,7 +122,7 @@
             source: How this host learned of it.
             origin: The store call or the host that reported it.
         """
-        if generation == NOT_NAMED or generation <= self.newest:
+        if generation == UNKNOWN_GENERATION or generation <= self.newest:
             return
         if generation > MAX_GENERATION:
             self.refuse(GenerationProblem.OUT_OF_RANGE, source, origin)
@@ -134,7 +134,7 @@
         log.note(
             "store-generation",
             generation=generation,
-            before=None if before == NOT_NAMED else before,
+            before=None if before == UNKNOWN_GENERATION else before,
             source=source.value,
             origin=origin,
         )
@@ -154,7 +154,7 @@
             newest=self.newest,
         )
 
-    def of_reply(
+    def note_reply(
         self, read: ReadGeneration, asked_in: StoreGeneration, call: str
     ) -> StoreGeneration:
         """Process a reply's generation; return the one the reply belongs to.
--- a/agatetack/keyed/messages.py
+++ b/agatetack/keyed/messages.py
@@ -13,13 +13,13 @@
 from agatetack.generated.keyed import ttypes as wire
 from agatetack.ids import LogOffset, StoreGeneration
 from agatetack.keyed.follower import TopicFollower
-from agatetack.keyed.generations import NOT_NAMED
+from agatetack.keyed.generations import UNKNOWN_GENERATION
 from agatetack.keyed.topic import KeyedRecord, TopicPage, TopicPosition
 
 HASH_BYTES = 8
 
 
-class MalformedHolding(ValueError):
+class MalformedHashes(ValueError):
     """A list of record hashes, or the reply to one, is malformed."""
 
 
@@ -36,12 +36,12 @@
         held: Hashes of the records that the receiver has, or None.
 
     Raises:
-        MalformedHolding: `held` is not a list of hashes.
+        MalformedHashes: `held` is not a list of hashes.
     """
     page, whole = follower.content.records_since(first)
     records, bits = page.records, None
     if whole and held is not None:
-        bits, records = split_held(records, held)
+        bits, records = match_hashes(records, held)
     found = [
         wire.Record(record.key, record.value, record.offset)
         for record in records
@@ -70,17 +70,19 @@
         held: The records whose hashes were in the request, if any.
 
     Raises:
-        MalformedHolding: The message does not match `held`.
+        MalformedHashes: The message does not match `held`.
     """
     end = LogOffset(records.end)
     generation = records.generation
     found = [_record(each) for each in records.records if not each.carried]
     if held and records.held is not None:
-        found += join_held(held, records.held, end)
+        found += select_held(held, records.held, end)
     return TopicPage(
         found,
         end,
-        NOT_NAMED if generation is None else StoreGeneration(generation),
+        UNKNOWN_GENERATION
+        if generation is None
+        else StoreGeneration(generation),
     )
 
 
@@ -98,7 +100,7 @@
     return b"".join(map(_hash, records))
 
 
-def split_held(
+def match_hashes(
     records: Sequence[KeyedRecord], hashes: bytes
 ) -> tuple[bytes, Sequence[KeyedRecord]]:
     """Return which hashes match one of `records`, and the unmatched records.
@@ -112,10 +114,10 @@
         the records whose hashes are not in the list.
 
     Raises:
-        MalformedHolding: The length is not a multiple of the hash size.
+        MalformedHashes: The length is not a multiple of the hash size.
     """
     if len(hashes) % HASH_BYTES:
-        raise MalformedHolding(f"{len(hashes)} bytes, not whole hashes")
+        raise MalformedHashes(f"{len(hashes)} bytes, not whole hashes")
     by_hash = {_hash(record): record for record in records}
     count = len(hashes) // HASH_BYTES
     bits = 0
@@ -126,7 +128,7 @@
     return bits.to_bytes(_bit_bytes(count), "little"), [*by_hash.values()]
 
 
-def join_held(
+def select_held(
     held: Sequence[KeyedRecord], bits: bytes, end: LogOffset
 ) -> Sequence[KeyedRecord]:
     """Return those of `held` that the store still has.
@@ -137,13 +139,13 @@
         end: The end of the topic; record offsets are limited to below it.
 
     Raises:
-        MalformedHolding: `bits` does not match the number of records.
+        MalformedHashes: `bits` does not match the number of records.
     """
     if len(bits) != _bit_bytes(len(held)):
-        raise MalformedHolding(f"{len(bits)} bytes for {len(held)} records")
+        raise MalformedHashes(f"{len(bits)} bytes for {len(held)} records")
     number = int.from_bytes(bits, "little")
     if number >> len(held):
-        raise MalformedHolding("a bit is set beyond the last hash sent")
+        raise MalformedHashes("a bit is set beyond the last hash sent")
     last = LogOffset(max(0, end - 1))
     return [
         KeyedRecord(record.key, record.value, min(record.offset, last))
--- a/agatetack/keyed/sharing.py
+++ b/agatetack/keyed/sharing.py
@@ -14,12 +14,12 @@
 from agatetack.ids import Deadline, HostId, LogOffset, StoreGeneration
 from agatetack.keyed.follower import TopicFollower
 from agatetack.keyed.generations import (
-    NOT_NAMED,
+    UNKNOWN_GENERATION,
     GenerationSource,
     StoreGenerations,
 )
 from agatetack.keyed.messages import (
-    MalformedHolding,
+    MalformedHashes,
     carried_of,
     hash_records,
     page_of,
@@ -190,7 +190,7 @@
         """
         if not report.carried or follower.content.carried.records:
             return False
-        asked_in = self.carried_asked_in.get(report.topic, NOT_NAMED)
+        asked_in = self.carried_asked_in.get(report.topic, UNKNOWN_GENERATION)
         return asked_in < self.generations.newest
 
     def _take_inline(
@@ -262,7 +262,7 @@
         try:
             records = decode(wire.Records, reply)
             page = page_of(records, held)
-        except (MalformedMessage, MalformedHolding) as error:
+        except (MalformedMessage, MalformedHashes) as error:
             self._drop("records-malformed", peer, error)
             self.readers.doubt(follower.name)
             return
@@ -273,7 +273,7 @@
     ) -> wire.FetchRecords:
         position = follower.content.position
         if position is None or again:
-            return wire.FetchRecords(follower.name, 0, NOT_NAMED)
+            return wire.FetchRecords(follower.name, 0, UNKNOWN_GENERATION)
         return wire.FetchRecords(
             follower.name, position.offset, position.generation
         )
@@ -327,7 +327,7 @@
         first = _position(generation, request.first)
         try:
             records = records_since(follower, first, request.held)
-        except MalformedHolding as error:
+        except MalformedHashes as error:
             self._drop("fetch-malformed", sender, error)
             return None
         return encode(records)
@@ -343,5 +343,9 @@
 
 def _position(generation: int | None, offset: int) -> TopicPosition:
     """Return the position that a message contains."""
-    named = NOT_NAMED if generation is None else StoreGeneration(generation)
+    named = (
+        UNKNOWN_GENERATION
+        if generation is None
+        else StoreGeneration(generation)
+    )
     return TopicPosition(named, LogOffset(offset))
--- a/agatetack/keyed/test_generations.py
+++ b/agatetack/keyed/test_generations.py
@@ -4,7 +4,7 @@
 
 from agatetack.ids import StoreGeneration
 from agatetack.keyed.generations import (
-    NOT_NAMED,
+    UNKNOWN_GENERATION,
     GenerationProblem,
     GenerationSource,
     ReadGeneration,
@@ -43,7 +43,7 @@
     ("said", "asked_in", "of", "newest"),
     [
         # The store reports its first generation, the same one, a later one.
-        (4, NOT_NAMED, 4, 4),
+        (4, UNKNOWN_GENERATION, 4, 4),
         (4, 4, 4, 4),
         (6, 4, 6, 6),
         # The store no longer reports one.
@@ -60,7 +60,7 @@
     generations = StoreGenerations(Metrics())
     generations.note(StoreGeneration(asked_in), GenerationSource.SEED, "h1")
     read = ReadGeneration(None if said is None else StoreGeneration(said))
-    assert generations.of_reply(read, asked_in, "read") == of
+    assert generations.note_reply(read, asked_in, "read") == of
     assert generations.newest == newest
 
 
@@ -68,7 +68,7 @@
     generations = StoreGenerations(Metrics())
     generations.note(StoreGeneration(5), GenerationSource.PEER, "h1")
     read = ReadGeneration(StoreGeneration(4))
-    assert generations.of_reply(read, StoreGeneration(4), "read") == 4
+    assert generations.note_reply(read, StoreGeneration(4), "read") == 4
     assert generations.newest == 5
 
 
@@ -76,9 +76,9 @@
     autojump_clock,
 ):
     generations = StoreGenerations(Metrics())
-    told = []
-    generations.watchers.append(lambda: told.append(generations.newest))
+    seen = []
+    generations.watchers.append(lambda: seen.append(generations.newest))
     for number in (1, 1, 3, 2, 3, 10**13, 4):
         source = GenerationSource.PEER
         generations.note(StoreGeneration(number), source, "h1")
-    assert told == [1, 3, 4]
+    assert seen == [1, 3, 4]
--- a/agatetack/keyed/test_store_restored.py
+++ b/agatetack/keyed/test_store_restored.py
@@ -95,7 +95,7 @@
         nursery.cancel_scope.cancel()
 
 
-class Extreme(random.Random):
+class ExtremeRandom(random.Random):
     """Always draws the longest pause, or always the shortest."""
 
     def __init__(self, longest):
@@ -123,7 +123,7 @@
         for host in fleet:
             place = host.follower.readers.place(NAME)
             first = place is not None and place < FIRST_READERS
-            host.follower.random = Extreme(longest=first)
+            host.follower.random = ExtremeRandom(longest=first)
         before = sum(host.topic.whole_reads for host in fleet)
         refuse(fleet)
         await trio.sleep(away_seconds)
@@ -429,11 +429,11 @@
     async with trio.open_nursery() as nursery:
         other, host = await start_beside(nursery, store, answer)
         host.follower.readers.note_report(NAME)
-        word = ends_of(9, generation=1)
+        message = ends_of(9, generation=1)
         if not asked:
-            word = ends_of(9, generation=generation, first=0, news=told)
+            message = ends_of(9, generation=generation, first=0, news=told)
         reads = host.topic.reads
-        other.publish(Topic.TOPIC_RECORDS, word)
+        other.publish(Topic.TOPIC_RECORDS, message)
         await trio.sleep(2)
         assert host.kept.values == expected(store)
         assert host.generations.newest == 1
--- a/agatetack/keyed/topic.py
+++ b/agatetack/keyed/topic.py
@@ -5,7 +5,7 @@
 from collections.abc import Mapping, Sequence
 
 from agatetack.ids import Deadline, LogOffset, StoreGeneration
-from agatetack.keyed.generations import NOT_NAMED
+from agatetack.keyed.generations import UNKNOWN_GENERATION
 
 
 class TopicUnavailable(Exception):
@@ -69,7 +69,7 @@
 
     records: Sequence[KeyedRecord]
     end: LogOffset
-    generation: StoreGeneration = NOT_NAMED
+    generation: StoreGeneration = UNKNOWN_GENERATION
 
     @property
     def position(self) -> TopicPosition:
--- a/agatetack/platform/store_client.py
+++ b/agatetack/platform/store_client.py
@@ -100,7 +100,7 @@
         except CallFailed as error:
             raise TopicUnavailable(str(error), error.sent) from error
         read = read_generation(reply.headers.get(GENERATION_HEADER))
-        generation = self.generations.of_reply(read, asked_in, path)
+        generation = self.generations.note_reply(read, asked_in, path)
         return StoreReply(reply.status, reply.body, generation)
 
 
--- a/agatetack/testing/memory_topic.py
+++ b/agatetack/testing/memory_topic.py
@@ -80,7 +80,7 @@
             raise TopicUnavailable("no answer in time", may_have_run=True)
         named = self.store.generation
         read = read_generation(None if named is None else str(named).encode())
-        generation = self.generations.of_reply(read, asked_in, "call")
+        generation = self.generations.note_reply(read, asked_in, "call")
         if self.refused:
             raise TopicUnavailable("refused")
         return generation
