--- a/agatetack/peers/budget.py
+++ b/agatetack/peers/budget.py
@@ -1,23 +1,28 @@
-"""Keep the bytes sent to peers within a rate, without ever going into debt."""
+"""Limit the rate of bytes sent to peers with a token bucket.
+
+The bucket never goes below zero: what doesn't fit is delayed or dropped.
+"""
 
 from agatetack.ids import Deadline
 
 CONTROL_SHARE = 0.25
-"""Share of one second's bytes that only control frames may use."""
+"""Share of one second's bytes that is reserved for control frames."""
 
 PUBLISH_SHARE = 0.5
 """Share of one second's bytes that published messages can use at once.
 
-Calls have what lies between. As they wait for their bytes, and publishing
-does not, calls go before published messages while both want more than the
-rate; heartbeats go before either.
+Calls may use all bytes but those reserved for control frames. Calls wait for
+their bytes, while published messages that don't fit are dropped. So when both
+need more than the rate, calls have priority over published messages, and
+heartbeats have priority over both.
 """
 
 
 ANNOUNCEMENT_SHARE = 0.1
-"""Share of the rate that hosts' announcements may use.
+"""Share of the rate that announcements of live hosts may use.
 
-When a whole fleet starts, each host has one of every other to pass on.
+When a whole fleet starts, each host has to forward one announcement of every
+other host.
 """
 
 
@@ -27,9 +32,9 @@
     Attributes:
         rate: Bytes that may be sent in one second.
         tokens: Bytes that may be sent now.
-        updated_at: When `tokens` was last brought up to date, or None.
-        announcements: What announcements may use of it, or None if that is
-            not bounded by itself.
+        updated_at: When `tokens` was last refilled, or None.
+        announcements: The additional limit of announcements, or None if
+            they have no limit of their own.
     """
 
     def __init__(self, rate: float, announcements: "ByteBudget | None" = None):
@@ -40,36 +45,36 @@
         self.updated_at: Deadline | None = None
 
     def take_control(self, count: int, now: Deadline) -> bool:
-        """Take `count` bytes for a control frame, if they are there."""
+        """Take `count` bytes for a control frame, if available."""
         return self._take(count, 0.0, now)
 
     def take_piece(self, count: int, now: Deadline) -> bool:
-        """Take `count` bytes for a piece of a call or reply."""
+        """Take `count` bytes for a chunk of a call or reply, if available."""
         return self._take(count, self.rate * CONTROL_SHARE, now)
 
     def take_publish(self, count: int, now: Deadline) -> bool:
-        """Take `count` bytes for a published message."""
+        """Take `count` bytes for a published message, if available."""
         return self._take(count, self.rate * (1 - PUBLISH_SHARE), now)
 
     def take_announcement(self, count: int, now: Deadline) -> bool:
-        """Take `count` bytes for an announcement of a live host."""
+        """Take `count` bytes for a live host's announcement, if available."""
         return self.announcements.take_control(
             count, now
         ) and self.take_publish(count, now)
 
     def max_publish(self) -> int:
-        """Return the largest message that `take_publish` can ever grant."""
+        """Return the size of the largest message `take_publish` can grant."""
         return int(self.rate * PUBLISH_SHARE)
 
     def piece_at(self, count: int, now: Deadline) -> Deadline:
-        """Return when `take_piece` of `count` bytes can first succeed."""
+        """Return when `take_piece` can grant `count` bytes at the earliest."""
         self._refill(now)
         short = count + self.rate * CONTROL_SHARE - self.tokens
         return Deadline(now + max(0.0, short) / self.rate)
 
     def _take(self, count: int, keep: float, now: Deadline) -> bool:
         self._refill(now)
-        # A hair is allowed for, as the sum of many refills is not exact.
+        # The tolerance covers rounding errors of many refills.
         if self.tokens - keep + 1e-6 < count:
             return False
         self.tokens -= count
@@ -83,5 +88,5 @@
 
 
 def peers_budget(rate: float) -> ByteBudget:
-    """Return the budget of `rate` bytes a second for all peers together."""
+    """Return the shared budget of all peers, `rate` bytes per second."""
     return ByteBudget(rate, ByteBudget(rate * ANNOUNCEMENT_SHARE))
--- a/agatetack/peers/call_service.py
+++ b/agatetack/peers/call_service.py
@@ -17,22 +17,25 @@
 from agatetack.settings.model import PeersSettings
 
 PIECES_PER_SECOND = 4
-"""Pieces that even a small byte budget lets through in one second."""
+"""Minimum number of chunks that the byte budget allows in one second.
+
+A small byte budget makes chunks smaller for that.
+"""
 
 LOG = PartLog("peers")
 
 
 class CallService:
-    """The calls of one host, in both directions.
+    """Outgoing and incoming calls of one host.
 
     Attributes:
-        servers: What answers peers' calls, by topic.
-        nursery: Runs the answers; set before any call comes.
-        piece_bytes: Payload bytes of one piece of a call or reply.
+        servers: The handlers of peers' calls, by topic.
+        nursery: Runs the handlers; set before the first call arrives.
+        piece_bytes: Payload bytes of one chunk of a call or reply.
     """
 
     def __init__(self, settings: PeersSettings, counters: PeerCounters):
-        """Count calls with `counters`."""
+        """Derive the chunk size from `settings`."""
         self.counters = counters
         self.servers: dict[int, CallHandler] = {}
         self.nursery: trio.Nursery | None = None
@@ -45,7 +48,8 @@
         """Call the peer of `link` and return its reply.
 
         Raises:
-            PeerUnreachable: The call failed there, or no reply came in time.
+            PeerUnreachable: The call failed at the peer, or no reply arrived
+                before `deadline`.
         """
         number, pending = link.calls.open()
         outgoing = call_frames(number, topic.value, payload, self.piece_bytes)
@@ -64,10 +68,10 @@
         return pending.reply
 
     def take(self, link: Link, call: ttypes.Call) -> None:
-        """Take a piece of a peer's call, and answer it once it is whole.
+        """Receive a chunk of a peer's call; handle the call once complete.
 
         Raises:
-            LinkClosed: The peer sends more than it may.
+            LinkClosed: The peer exceeds the limits of calls.
         """
         payload = link.incoming.add(call)
         if payload is None:
@@ -88,8 +92,10 @@
             if server is not None:
                 reply = await server(link.id, payload)
         except Exception as error:  # noqa: BLE001
-            # The peer is told that its call failed.
-            LOG.error("A call of %s was not answered: %r.", link.id, error)
+            # The reply below reports the failure to the peer.
+            LOG.error(
+                "The handler of a call from %s failed: %r.", link.id, error
+            )
         finally:
             link.answering -= 1
         if reply is None:
@@ -103,6 +109,6 @@
         link.send_outgoing(frames)
 
     def refuse_unlinked(self, peer: HostId) -> PeerUnreachable:
-        """Count a call to a host without a link and return its error."""
+        """Count a call to a host without a link and return the error."""
         self.counters.called("no-link")
         return PeerUnreachable(f"there is no link with {peer}")
--- a/agatetack/peers/calls.py
+++ b/agatetack/peers/calls.py
@@ -1,7 +1,7 @@
-"""Cut calls and replies into frames and put them together again.
+"""Split calls and replies into frames and reassemble them.
 
-Pieces are small, so that heartbeats and published messages pass between
-those of a large reply, and the byte budget can hold single pieces back.
+Chunks are small, so that heartbeats and published messages can be sent
+between the chunks of a large reply, and the byte budget can delay each chunk.
 """
 
 import dataclasses
@@ -15,25 +15,31 @@
 from agatetack.peers.frames import CloseReason, LinkClosed, encode_frame
 
 PIECE_BYTES = 4096
-"""Payload bytes of one piece of a call or reply, at most."""
+"""Maximum payload of one chunk of a call or reply."""
 
 MAX_INCOMING_CALLS = 64
-"""Calls of one peer that may be open here at the same time."""
+"""Maximum number of incoming calls from one peer at the same time.
+
+It applies to incomplete calls and to those being answered, separately.
+"""
 
 
 UNBUDGETED_TOPICS = frozenset({Topic.CLAIM_BATCH.value})
-"""Topics whose calls are part of callers' requests. Admission bounds these,
-and the byte budget, which bounds the cost of control, must not delay them."""
+"""Topics whose calls are part of callers' requests.
+
+Admission control limits them. The byte budget, which limits the cost of control
+traffic, must not delay them.
+"""
 
 
 @dataclasses.dataclass(slots=True)
 class Outgoing:
-    """A call or reply that waits to be sent.
+    """A call or reply in the send queue.
 
     Attributes:
-        frames: Its encoded pieces that are not sent yet.
-        budgeted: Whether it waits for the byte budget.
-        started: Whether a piece was sent.
+        frames: Its encoded chunks that are not sent yet.
+        budgeted: Whether it is subject to the byte budget.
+        started: Whether a chunk was sent.
     """
 
     frames: deque[bytes]
@@ -46,10 +52,10 @@
     """A call that waits for its reply.
 
     Attributes:
-        done: Set when the reply is whole or the call failed.
-        pieces: What came of the reply.
+        done: Set when the reply is complete or the call failed.
+        pieces: The chunks of the reply received so far.
         size: Bytes of `pieces`.
-        reply: The whole reply, or None if the call failed.
+        reply: The complete reply; None before that or if the call failed.
     """
 
     done: trio.Event = dataclasses.field(default_factory=trio.Event)
@@ -61,7 +67,7 @@
 def call_frames(
     number: int, topic: int, payload: bytes, piece_bytes: int
 ) -> Outgoing:
-    """Return the frames of one call, in pieces of `piece_bytes`."""
+    """Return the frames of one call, in chunks of `piece_bytes`."""
     frames = deque(
         encode_frame(
             ttypes.Frame(call=ttypes.Call(number, topic, piece, more or None))
@@ -74,7 +80,7 @@
 def reply_frames(
     number: int, topic: int, payload: bytes | None, piece_bytes: int
 ) -> Outgoing:
-    """Return the frames of a call's reply; None tells that it failed."""
+    """Return the frames of a reply; a `payload` of None reports a failure."""
     if payload is None:
         replies = [ttypes.Reply(number)]
     else:
@@ -93,19 +99,19 @@
 
 
 class IncomingCalls:
-    """The calls of one peer, of which not all pieces came yet."""
+    """The incomplete incoming calls of one peer."""
 
     def __init__(self, max_bytes: int):
-        """Accept calls of up to `max_bytes`, all unfinished ones together."""
+        """Accept up to `max_bytes` for all incomplete calls together."""
         self.max_bytes = max_bytes
         self.pieces: dict[int, list[bytes]] = {}
         self.size = 0
 
     def add(self, call: ttypes.Call) -> bytes | None:
-        """Take a piece; return the whole call once its last piece came.
+        """Add a chunk; return the payload of the call once it is complete.
 
         Raises:
-            LinkClosed: The peer sends more than it may.
+            LinkClosed: The peer exceeds a limit.
         """
         pieces = self.pieces.setdefault(call.id, [])
         pieces.append(call.payload)
@@ -132,18 +138,18 @@
         self.last_number = 0
 
     def open(self) -> tuple[int, PendingCall]:
-        """Return a new call and its number."""
+        """Create a call; return its number and the call."""
         self.last_number += 1
         pending = PendingCall()
         self.calls[self.last_number] = pending
         return self.last_number, pending
 
     def forget(self, number: int) -> None:
-        """Drop a call that nobody waits for any longer."""
+        """Remove a call that is no longer awaited."""
         self.calls.pop(number, None)
 
     def add(self, reply: ttypes.Reply) -> None:
-        """Take a piece of a reply; one to a call given up is ignored.
+        """Add a chunk of a reply; ignore it if its call is no longer pending.
 
         Raises:
             LinkClosed: The reply is larger than accepted.
@@ -163,6 +169,6 @@
             pending.done.set()
 
     def fail_all(self) -> None:
-        """End every call without a reply, as the link is lost."""
+        """Fail every call, because the link is lost."""
         for pending in self.calls.values():
             pending.done.set()
--- a/agatetack/peers/choice.py
+++ b/agatetack/peers/choice.py
@@ -1,9 +1,9 @@
-"""Choose the few hosts that a host keeps links with in a large fleet.
+"""Choose the hosts that a host connects to, a bounded number in a large fleet.
 
-Every host ranks the others by a hash of the pair (rendezvous hashing), so a
-host that joins or leaves changes few links, and hosts with the same list come
-to matching choices without a word. The next host in hash order is always
-among them: those links alone form one ring over the whole fleet.
+Every host ranks the others by a hash of the pair (rendezvous hashing). So a
+host that joins or leaves changes few links, and hosts with the same list make
+consistent choices without coordination. The choice always includes the next
+host in hash order: these links alone form a ring over the whole fleet.
 """
 
 from collections.abc import Collection, Iterable, Mapping
@@ -14,12 +14,16 @@
 from agatetack.peers.groups import Groups
 
 LEADER_SHARE = 0.5
-"""Most links between the leaders of groups, as a share of `max_peers`: in a
-larger fleet a leader has links with some of the others."""
+"""Maximum links of a leader to leaders of other groups per `max_peers`.
+
+If there are more groups, a leader has links with some of the others only.
+"""
 
 SECOND_LINKS = 3
-"""Leaders of other groups that the second leader of a group dials; it stands
-in for the first one."""
+"""Maximum number of leaders of other groups that a second leader dials.
+
+The second leader of a group replaces the first one if that is lost.
+"""
 
 
 def choose_peers(
@@ -31,15 +35,16 @@
 ) -> frozenset[HostId]:
     """Return the hosts that `own` dials.
 
-    Up to `max_peers` others all are chosen. Above that a host chooses those of
-    its group, and one that leads it chooses leaders of other groups too.
+    If there are at most `max_peers` others, all are chosen. Otherwise a host
+    chooses the hosts of its group, and a leader of the group also chooses
+    leaders of other groups.
 
     Args:
         own: The host that chooses.
         domains: The failure domain of each known host, `own` included.
-        max_peers: How many links a host should have.
-        lost: Hosts that could not be reached when they were dialled last.
-        groups: The groups of `domains`, if they are known already.
+        max_peers: The intended maximum number of links of a host.
+        lost: Hosts that were unreachable when last dialled.
+        groups: The groups of `domains`, if already computed.
     """
     others = [host for host in domains if host != own]
     if len(others) <= max_peers:
@@ -52,7 +57,8 @@
     if own in leaders:
         far = [h for h in groups.first_leaders(lost) if h not in leaders]
         most = int(max_peers * LEADER_SHARE)
-        # Where not all are chosen, about as many choose this one.
+        # If only some are chosen, about as many leaders choose this host, so
+        # each side dials half of the links.
         count = len(far) if len(far) <= most else most // 2
         if own != leaders[0]:
             count = min(count, SECOND_LINKS)
@@ -61,7 +67,7 @@
 
 
 def pair_rank(first: str, second: str) -> int:
-    """Return the rank of a pair of hosts, the same from either end."""
+    """Return the rank of a pair of hosts, whatever their order."""
     low, high = sorted((first, second))
     return _hash(f"{low}|{high}")
 
--- a/agatetack/peers/connector.py
+++ b/agatetack/peers/connector.py
@@ -24,37 +24,40 @@
 from agatetack.peers.transport import Transport
 
 MAX_LINKS_RATIO = 4
-"""Links accepted at most, as a multiple of `peers.max_peers`."""
+"""Maximum number of links, as a multiple of `peers.max_peers`."""
 
 MAX_HANDSHAKES = 64
-"""Connections at most that have not proved who they are yet."""
+"""Maximum number of connections that are not authenticated yet."""
 
 CHOICE_PAUSE_SECONDS = 0.05
-"""Shortest time between two choices of peers, as changes come in groups."""
+"""Minimum time between two choices of peers, as changes come in bursts."""
 
 PAUSE_HOSTS = 50
-"""Hosts for each of which that time holds; a choice among 312 hosts takes 2 ms
-of processor time, and they all come within some seconds."""
+"""Fleet size above which `CHOICE_PAUSE_SECONDS` grows in proportion.
+
+A choice among 312 hosts takes 2 ms of CPU time, and all of them may appear
+within a few seconds.
+"""
 
 GONE_REASONS = frozenset({CloseReason.SILENT, CloseReason.UNACKNOWLEDGED})
-"""Why a link ends with a host that can't be reached."""
+"""Reasons that show that the host at the other end is unreachable."""
 
 LOG = PartLog("peers")
 
 OpenStream = Callable[[str, int], Awaitable[trio.abc.Stream]]
-"""Opens a connection to an IP number and port; raises OSError."""
+"""Opens a connection to an IP address and port; raises OSError."""
 
 Admit = Callable[[ttypes.Hello], None]
-"""Checks the other host's hello; raises LinkClosed."""
+"""Checks the other host's hello; raises LinkClosed to reject it."""
 
 
 class ConnectorOwner(LinkOwner):
-    """Whoever uses the links that are opened.
+    """The user of the links that a connector opens.
 
     Attributes:
-        own: This host's name.
-        failure_domain: Where this host is.
-        members: The hosts known.
+        own: This host's id.
+        failure_domain: This host's failure domain.
+        members: The known hosts.
         transport: Opens and accepts connections.
     """
 
@@ -65,15 +68,15 @@
 
     @abc.abstractmethod
     def hello(self) -> ttypes.Hello:
-        """Return what this host says of itself, with a fresh nonce."""
+        """Return this host's hello, with a fresh nonce."""
 
     @abc.abstractmethod
     def linked(self, link: Link) -> None:
-        """Note that a link stands."""
+        """Handle a new link."""
 
     @abc.abstractmethod
     def unlinked(self, link: Link) -> None:
-        """Note that a link was closed."""
+        """Handle a closed link."""
 
 
 class Connector:
@@ -81,15 +84,18 @@
 
     Attributes:
         links: The link with each connected peer.
-        wanted: The hosts that this host keeps links with.
-        missing: Those of them without a link, as peers were told last.
-        bounded: Whether the fleet is too large for links with all.
+        wanted: The chosen hosts, to which this host keeps links.
+        missing: Hosts of `wanted` without a link, as last sent to the peers.
+        bounded: Whether the fleet is too large for a full mesh of links.
         groups: The groups of such a fleet, else None.
-        group: This host's group in it.
-        leaders: The hosts that lead this group now, the first one first.
-        targets: The targets that the groups share out among them.
-        lost: Hosts that could not be reached when they were dialled last.
-        open_stream: Opens a connection to an IP number and port.
+        group: This host's group.
+        leaders: The current leaders of this group, the first leader first.
+        targets: The targets that are divided among the groups.
+        lost: Hosts that were unreachable when last dialled.
+        open_stream: Opens a connection to an IP address and port.
+        dialling: Cancels the task that keeps the link with a host, by host.
+        handshakes: Connections with an unfinished handshake.
+        changed: Set when peers have to be chosen again.
     """
 
     def __init__(self, owner: ConnectorOwner, source: random.Random):
@@ -117,17 +123,17 @@
         self.changed = trio.Event()
 
     def note_targets(self, targets: Sequence[PlacedTarget]) -> None:
-        """Deal out all targets there are among the groups."""
+        """Replace the targets and divide them among the groups."""
         self.targets = targets
         if self.groups is not None:
             self.groups.deal_out(targets)
 
     def view_changed(self) -> None:
-        """Choose peers anew soon."""
+        """Schedule a new choice of peers."""
         self.changed.set()
 
     async def keep_links(self) -> None:
-        """Dial whom this host wants links with, until cancelled."""
+        """Choose peers and keep links with them until cancelled."""
         async with trio.open_nursery() as nursery:
             while True:
                 self.changed = trio.Event()
@@ -168,7 +174,7 @@
             nursery.start_soon(self._dial, host, scope)
 
     def _split(self, domains: Mapping[HostId, FailureDomain]) -> None:
-        """Work out the groups of a fleet that is too large for all links."""
+        """Compute the groups if the fleet is too large for a full mesh."""
         if not self.bounded:
             self.groups = None
             return
@@ -179,7 +185,7 @@
         self.leaders = self.groups.leaders(self.group, self.lost)
 
     def _is_reachable(self, host: HostId) -> bool:
-        # A live link outweighs a list that has lost its host.
+        # A host with a link is reachable even if the list lacks it.
         return host in self.links or bool(self._addresses(host))
 
     def _tell_missing(self) -> None:
@@ -201,7 +207,7 @@
         try:
             remote_ip = stream.socket.getpeername()[0]
         except OSError:
-            # It was closed before it was looked at.
+            # The connection was closed before it was handled.
             self.counters.closed_for(CloseReason.CONNECTION_LOST)
             await trio.aclose_forcefully(stream)
             return
@@ -232,8 +238,8 @@
 
         with scope:
             if self.own > peer:
-                # Both ends may dial; the lower id goes first, so that one
-                # connection is enough as a rule.
+                # Both ends may dial. The host with the lower id dials first,
+                # so that usually only one connection is opened.
                 await trio.sleep(self.settings.heartbeat_seconds)
             while True:
                 if peer in self.links:
@@ -246,7 +252,8 @@
     async def _dial_once(self, peer: HostId, admit: Admit) -> None:
         addresses = self._addresses(peer)
         if not addresses:
-            # It has just left the list; the next choice leaves it out.
+            # The host was just removed from the list; the next choice of
+            # peers excludes it.
             return
         address = self.random.choice(addresses)
         stream = None
@@ -254,7 +261,7 @@
             try:
                 stream = await self.open_stream(address.ip, address.port)
             except OSError as error:
-                LOG.debug("There is no connection to %s: %s.", peer, error)
+                LOG.debug("The connection to %s failed: %s.", peer, error)
         if stream is None:
             self.counters.closed_for(CloseReason.CONNECT_FAILED)
             self._lose(peer)
@@ -262,16 +269,17 @@
         await self._serve(stream, Side.DIALLING, admit)
 
     def _lose(self, peer: HostId) -> None:
-        """Leave leading to others while `peer` can't be reached."""
+        """Mark `peer` as unreachable, which excludes it from the leaders."""
         if peer not in self.lost:
             self.lost.add(peer)
             self.view_changed()
 
     def _addresses(self, peer: HostId) -> list[ListedHost | Member]:
-        """Return who says where `peer` is: the list, or itself.
+        """Return the known addresses of `peer`: as listed and as announced.
 
-        Either may be outdated, as a host may be replaced by one of its name.
-        What it says of itself is believed only if it is proved.
+        Either may be outdated, because a host may be replaced by another one
+        with the same id. An announced address is used only if hosts
+        authenticate each other.
         """
         found: list[ListedHost | Member] = []
         if peer in self.members.listed:
@@ -356,7 +364,8 @@
         raise LinkClosed(CloseReason.SILENT)
 
     def _register(self, link: Link) -> None:
-        # Another connection of the same peer may have come meanwhile.
+        # Another connection with the same peer may have been registered
+        # during the handshake.
         self._check_incarnation(link.hello)
         current = self.links.get(link.id)
         if current is not None and self._keeps(current, link):
@@ -371,7 +380,7 @@
         self.view_changed()
 
     def _keeps(self, current: Link, new: Link) -> bool:
-        """Return whether `current` stays; both ends decide alike."""
+        """Return whether `current` is kept; both ends decide the same."""
         return (
             current.live
             and current.incarnation == new.incarnation
@@ -386,8 +395,8 @@
         if self.links.get(link.id) is link:
             del self.links[link.id]
             if link.reason in GONE_REASONS:
-                # Any other end may be wanted; whether the host is there is
-                # seen when it is dialled again.
+                # Other reasons may be intended or temporary; the next dial
+                # shows whether the host is reachable.
                 self.lost.add(link.id)
             self.owner.unlinked(link)
             self.view_changed()
--- a/agatetack/peers/counters.py
+++ b/agatetack/peers/counters.py
@@ -1,23 +1,23 @@
-"""Count what passes between this host and its peers."""
+"""Count the traffic between this host and its peers."""
 
 from agatetack.metrics import Metrics
 from agatetack.peers.frames import CloseReason
 
 
 class PeerCounters:
-    """The counters of the exchange with peers.
+    """The counters of the peer exchange.
 
     Attributes:
         closed: Connections closed, by reason.
         bytes: Bytes exchanged, by direction.
-        relayed: Messages of other hosts passed on.
+        relayed: Messages of other hosts forwarded.
         calls: Calls to peers, by result.
-        sent_bytes: Bytes sent that `flush` has not shown yet.
-        received_bytes: Bytes received that `flush` has not shown yet.
+        sent_bytes: Bytes sent since the last `flush`.
+        received_bytes: Bytes received since the last `flush`.
     """
 
     def __init__(self, metrics: Metrics):
-        """Create the counters, and one series for each reason."""
+        """Create the counters, with a series for each direction and reason."""
         self.metrics = metrics
         self.closed = metrics.counter(
             "agatetack_peer_closed_total",
@@ -51,7 +51,7 @@
         self.calls.inc({"result": result})
 
     def passed_on(self, count: int) -> None:
-        """Count messages of other hosts passed on."""
+        """Count forwarded messages of other hosts."""
         self.relayed.add({}, count)
 
     def sent(self, count: int) -> None:
@@ -59,7 +59,7 @@
         self.sent_bytes += count
 
     def sent_unbudgeted(self, count: int) -> None:
-        """Count bytes sent that the byte budget doesn't bound."""
+        """Count bytes sent that are exempt from the byte budget."""
         self.bytes.add({"direction": "sent-unbudgeted"}, count)
 
     def received(self, count: int) -> None:
@@ -67,12 +67,15 @@
         self.received_bytes += count
 
     def flush(self) -> None:
-        """Show the bytes counted; a counter's labels cost too much each."""
+        """Add the bytes sent and received to the metric.
+
+        Looking up the labels of the metric for each frame costs too much.
+        """
         self.bytes.add({"direction": "sent"}, self.sent_bytes)
         self.bytes.add({"direction": "received"}, self.received_bytes)
         self.sent_bytes = 0
         self.received_bytes = 0
 
     def dropped(self, reason: str) -> None:
-        """Count a frame or message left out."""
+        """Count a dropped frame, message or call."""
         self.metrics.dropped.inc({"part": "peers", "reason": reason})
--- a/agatetack/peers/exchange.py
+++ b/agatetack/peers/exchange.py
@@ -1,4 +1,4 @@
-"""Define how slices exchange messages with the other hosts."""
+"""Define the interface for exchanging messages with other hosts."""
 
 import abc
 import dataclasses
@@ -11,7 +11,7 @@
 
 
 class Topic(enum.Enum):
-    """What a message between peers is about; one slice reads each."""
+    """The kind of a message between peers; one package reads each."""
 
     CONFIG_RECORDS = 1
     CONFIG_OFFSET = 2
@@ -31,11 +31,11 @@
 
     ALL = "all"
     NEAR = "near"
-    """All of a fleet that is small enough for links with all, and those of
-    the own group in a larger one."""
+    """All hosts if the fleet has a full mesh of links, else the hosts of the
+    own group."""
     FAR = "far"
-    """Those that `NEAR` leaves out; only the first leader of a group reaches
-    them."""
+    """The hosts that `NEAR` excludes; only the first leader of a group can
+    send to them."""
     DOMAIN = "domain"
     """Linked hosts of the own failure domain."""
     ELSEWHERE = "elsewhere"
@@ -47,9 +47,10 @@
     """Another live host.
 
     Attributes:
-        id: Its name.
-        incarnation: Its start, in ns since 1970; a restart has a higher one.
-        failure_domain: Where it is.
+        id: Its id.
+        incarnation: When its process started, in ns since 1970; a restart has
+            a higher one.
+        failure_domain: Its failure domain.
         leaving: Whether it has announced that it is leaving.
     """
 
@@ -60,35 +61,37 @@
 
 
 MessageHandler = Callable[[HostId, bytes], None]
-"""Takes the sender and the payload; must not block or raise."""
+"""Receives the sender and the payload; must not block or raise."""
 
 CallHandler = Callable[[HostId, bytes], Awaitable[bytes | None]]
-"""Takes the sender and the request, returns the reply; None if there is none,
-which the sender is told."""
+"""Receives the sender and the request; returns the reply.
+
+None fails the call at the sender.
+"""
 
 
 class PeerUnreachable(Exception):
-    """A peer did not answer a call in time."""
+    """A call to a peer failed or was not answered in time."""
 
 
 class GatewayDirectory(Protocol):
-    """The platform's list of hosts as it was read last; maybe outdated."""
+    """The platform's list of hosts as last read; it may be outdated."""
 
     def gateways(self) -> Sequence[ListedHost]:
-        """Return the agatetack hosts of the list."""
+        """Return the agatetack hosts in the list."""
 
     def on_change(self, callback: Callable[..., None]) -> None:
-        """Call `callback`, with what changed, after each change."""
+        """Call `callback` with the changes after each change."""
 
 
 class Exchange(abc.ABC):
-    """Messages with the other hosts. Delivery is not guaranteed."""
+    """Exchanges messages with the other hosts, without guaranteed delivery."""
 
     @abc.abstractmethod
     def publish(
         self, topic: Topic, payload: bytes, scope: Scope = Scope.ALL
     ) -> None:
-        """Send to connected peers; dropped when over the byte budget."""
+        """Send to connected peers; drop messages over the byte budget."""
 
     @abc.abstractmethod
     def subscribe(self, topic: Topic, handler: MessageHandler) -> None:
@@ -110,33 +113,33 @@
 
     @abc.abstractmethod
     def live_peers(self) -> Sequence[Peer]:
-        """Return the peers heard lately, without this host."""
+        """Return the hosts with a live link to this one."""
 
     def near_peers(self) -> Sequence[Peer]:
         """Return the live peers that `Scope.NEAR` reaches."""
         return self.live_peers()
 
     def known_hosts(self) -> Sequence[Peer]:
-        """Return all other hosts that are taken for live.
+        """Return all other hosts that are considered live.
 
-        In a fleet that is too large for links with all, hosts that were heard
-        of through others are among them.
+        Without a full mesh of links, these include hosts that are known only
+        through forwarded messages.
         """
         return self.live_peers()
 
     @property
     def bounded(self) -> bool:
-        """Return whether the fleet is too large for links with all."""
+        """Return whether the fleet is too large for a full mesh of links."""
         return False
 
     @property
     def is_leader(self) -> bool:
-        """Return whether this host passes on what its group has to hear."""
+        """Return whether this host forwards messages to its group."""
         return False
 
     @property
     def is_first_leader(self) -> bool:
-        """Return whether this host tells others of its group's targets."""
+        """Return whether this host reports its group's targets to others."""
         return False
 
     def first_leaders(self) -> Sequence[HostId]:
@@ -144,14 +147,16 @@
         return ()
 
     def group_hosts(self) -> Sequence[HostId]:
-        """Return the hosts of this one's group, itself included.
+        """Return the hosts of this host's group, itself included.
 
-        They are the listed ones, live or not; none if there are no groups.
+        These are the known hosts, live or not; none if there are no groups.
         """
         return ()
 
     def shares_target(self, target: TargetId, domain: FailureDomain) -> bool:
-        """Return whether `target` is one of this host's group.
+        """Return whether `target` is assigned to this host's group.
+
+        It always is if there are no groups.
 
         Args:
             target: The target.
@@ -161,15 +166,15 @@
 
     @abc.abstractmethod
     def fleet_size(self) -> int:
-        """Return the number of hosts, this one included, never too low.
+        """Return an upper estimate of the number of hosts, this one included.
 
-        It is the larger of the platform's list and the peers heard, so that
-        a share of a fleet-wide budget is never too large.
+        It is the larger of the platform's list and the live hosts known, so
+        that a host's share of a fleet-wide budget is never too large.
         """
 
 
 class NoExchange(Exchange):
-    """A host without peers, for tests and single-host use."""
+    """The exchange of a host without peers, for tests and single hosts."""
 
     def publish(
         self, topic: Topic, payload: bytes, scope: Scope = Scope.ALL
@@ -177,10 +182,10 @@
         """Drop the message."""
 
     def subscribe(self, topic: Topic, handler: MessageHandler) -> None:
-        """Ignore the handler, as no message will come."""
+        """Ignore the handler, as no message will arrive."""
 
     def serve(self, topic: Topic, handler: CallHandler) -> None:
-        """Ignore the handler, as no call will come."""
+        """Ignore the handler, as no call will arrive."""
 
     async def call(
         self, peer: HostId, topic: Topic, payload: bytes, deadline: Deadline
@@ -189,7 +194,7 @@
         raise PeerUnreachable(f"{peer} is not a peer of this host")
 
     def live_peers(self) -> Sequence[Peer]:
-        """Return nobody."""
+        """Return no peers."""
         return ()
 
     def fleet_size(self) -> int:
--- a/agatetack/peers/frames.py
+++ b/agatetack/peers/frames.py
@@ -1,4 +1,4 @@
-"""Encode, bound and decode the frames that peers exchange."""
+"""Encode and decode the frames that peers exchange and limit their size."""
 
 import enum
 import re
@@ -10,25 +10,25 @@
 from agatetack.thrift_codec import CODEC, MalformedMessage, decode, encode
 
 LENGTH_BYTES = 4
-"""Bytes of the length in front of each frame."""
+"""Size of the length prefix of each frame."""
 
 HELLO_MAX_BYTES = 1024
-"""Largest frame before the other end has proved who it is."""
+"""Maximum size of a frame before the other end is authenticated."""
 
 RECEIVE_BYTES = 65536
-"""Most bytes taken from a connection at once."""
+"""Maximum number of bytes read from a connection at once."""
 
 HOST_PATTERN = re.compile(r"[A-Za-z0-9][A-Za-z0-9._-]{0,99}")
-"""What a host id or failure domain of the settings may look like."""
+"""Format of host ids and failure domains in the settings."""
 
 MAX_IP_LENGTH = 45
-"""Characters of the longest IPv6 address."""
+"""Length of the longest IPv6 address, in characters."""
 
 _KINDS = ("hello", "proof", "heartbeat", "publish", "call", "reply", "missing")
 
 
 class CloseReason(enum.Enum):
-    """Why a connection with a peer was closed; a counter's label."""
+    """Why a connection with a peer was closed; a metric label."""
 
     ENDED = "ended"
     CONNECTION_LOST = "connection-lost"
@@ -50,26 +50,26 @@
 
 
 class LinkClosed(Exception):
-    """A connection with a peer can't be used any longer.
+    """A connection with a peer has to be closed or was closed.
 
     Attributes:
         reason: Why.
     """
 
     def __init__(self, reason: CloseReason):
-        """Keep the reason."""
+        """Create the error for `reason`."""
         super().__init__(reason.value)
         self.reason = reason
 
 
 def encode_frame(frame: ttypes.Frame) -> bytes:
-    """Return the bytes of `frame`, with its length in front."""
+    """Return the encoded `frame` with its length prefix."""
     content = encode(frame)
     return len(content).to_bytes(LENGTH_BYTES, "big") + content
 
 
 def decode_frame(content: bytes) -> ttypes.Frame:
-    """Return the frame in `content`, which comes without its length.
+    """Return the frame encoded in `content`, without a length prefix.
 
     Raises:
         LinkClosed: It is not exactly one well-formed frame.
@@ -79,14 +79,14 @@
         kinds = [kind for kind in _KINDS if getattr(frame, kind) is not None]
         if len(kinds) != 1:
             raise LinkClosed(CloseReason.MALFORMED_FRAME)
-        # The accelerated decoder leaves absent and mistyped fields unset, so
-        # required fields have to be checked here.
+        # The accelerated decoder leaves absent fields and fields of the wrong
+        # type unset, so required fields have to be checked here.
         getattr(frame, kinds[0]).validate()
     except LinkClosed:
         raise
     except Exception as error:
-        # The checks raise errors of many kinds for what isn't a frame; all
-        # of them mean the same.
+        # Decoding and validation raise exceptions of many types for malformed
+        # content.
         raise LinkClosed(CloseReason.MALFORMED_FRAME) from error
     if not _names_are_valid(frame):
         raise LinkClosed(CloseReason.MALFORMED_FRAME)
@@ -94,12 +94,12 @@
 
 
 def encode_member(member: ttypes.Member) -> bytes:
-    """Return the bytes of `member`, for the payload of a publish."""
+    """Return the encoded `member`, the payload of a published message."""
     return encode(member)
 
 
 def decode_member(payload: bytes) -> ttypes.Member | None:
-    """Return the member in `payload`, or None if it is malformed."""
+    """Return the member encoded in `payload`, or None if malformed."""
     try:
         member = decode(ttypes.Member, payload)
     except MalformedMessage:
@@ -140,14 +140,14 @@
     """Read frames from one connection.
 
     Attributes:
-        max_bytes: Largest frame accepted now.
-        last_frame: The bytes of the latest frame, with its length.
+        max_bytes: Maximum size of the frames accepted now.
+        last_frame: The bytes of the latest frame, with its length prefix.
     """
 
     def __init__(
         self, stream: trio.abc.ReceiveStream, on_bytes: Callable[[int], None]
     ):
-        """Read from `stream`; call `on_bytes` with each count of bytes."""
+        """Read from `stream`; call `on_bytes` with the size of each read."""
         self.stream = stream
         self.on_bytes = on_bytes
         self.max_bytes = HELLO_MAX_BYTES
@@ -158,8 +158,8 @@
         """Return the next frame.
 
         Raises:
-            LinkClosed: The connection ended, was lost or sent bytes that are
-                not a frame, or a frame that is too large.
+            LinkClosed: The connection ended or was lost, or the frame is
+                malformed or too large.
         """
         while not self._has_frame():
             await self._fill()
@@ -168,10 +168,10 @@
         return decode_frame(self.last_frame[LENGTH_BYTES:])
 
     def _has_frame(self) -> bool:
-        """Return whether a whole frame is here.
+        """Return whether the buffer holds a complete frame.
 
         Raises:
-            LinkClosed: It is too large.
+            LinkClosed: The frame is too large.
         """
         if len(self.buffer) < LENGTH_BYTES:
             return False
@@ -181,12 +181,12 @@
         return len(self.buffer) >= end
 
     def _end(self) -> int:
-        """Return where the first frame ends, its length included."""
+        """Return the size of the first frame, with its length prefix."""
         length = int.from_bytes(self.buffer[:LENGTH_BYTES], "big")
         return LENGTH_BYTES + length
 
     async def _fill(self) -> None:
-        """Take what the other end sends next."""
+        """Read the next bytes into the buffer."""
         try:
             piece = await self.stream.receive_some(RECEIVE_BYTES)
         except (trio.BrokenResourceError, trio.ClosedResourceError) as err:
--- a/agatetack/peers/groups.py
+++ b/agatetack/peers/groups.py
@@ -1,15 +1,15 @@
-"""Split a fleet too large for links with all into groups of linked hosts.
-
-The hosts of a group are of one failure domain, and all have links with each
-other. Each target belongs to one group of its failure domain, and each group
-has as large a part of a service's targets there as of the hosts: the hosts of
-that group send there by preference, probe it, and tell each other at once of
-what they have there. So what a host hears, and the targets to which it keeps
-open connections, do not grow with the fleet.
-
-Two hosts of each group lead it: they have links with leaders of other groups,
-and pass on what the whole fleet needs. All hosts split the fleet alike, by
-hashes of names, without a word.
+"""Split a fleet that is too large for a full mesh of links into groups.
+
+The hosts of a group are in one failure domain, and all have links with each
+other. Each target is assigned to one group in its failure domain, in proportion
+to the hosts of the groups there, for each service. The hosts of that group
+prefer the target for their requests, probe it, and report to each other at once
+what they have in flight there. So neither the messages that a host receives nor
+the targets to which it keeps connections open grow with the fleet.
+
+Two leaders of each group have links with leaders of other groups and forward
+the messages that the whole fleet needs. All hosts compute the same groups from
+hashes of names, without coordination.
 """
 
 import dataclasses
@@ -22,23 +22,25 @@
 from agatetack.ids import FailureDomain, HostId, ServiceId, TargetId
 
 GROUP_SHARE = 0.5
-"""Most hosts of a group on the mean, as a share of `peers.max_peers`; the rest
-of a leader's links are those with other groups."""
+"""Maximum mean number of hosts in a group, as a share of `peers.max_peers`.
+
+The rest of a leader's links are links with other groups.
+"""
 
 PLACES_RANK = "share"
-"""Keeps the order in which targets are dealt out apart from other orders."""
+"""Hash prefix of the order in which targets are assigned to groups."""
 
 LEADERS = 2
-"""Hosts that lead a group; one may be lost without a word."""
+"""Number of leaders of a group; one of them may fail unnoticed."""
 
 
 class PlacedTarget(Protocol):
-    """What says where a target is and what it serves.
+    """The properties of a target that decide its group.
 
     Attributes:
-        id: Its name.
-        failure_domain: Where it is.
-        service: The service it belongs to.
+        id: Its id.
+        failure_domain: Its failure domain.
+        service: Its service.
     """
 
     id: TargetId
@@ -48,11 +50,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class GroupId:
-    """One group.
+    """The id of a group.
 
     Attributes:
-        failure_domain: Where its hosts are.
-        number: Which of the groups there it is.
+        failure_domain: The failure domain of its hosts.
+        number: The number of the group in the failure domain.
     """
 
     failure_domain: FailureDomain
@@ -63,11 +65,12 @@
     """The groups of a fleet.
 
     Attributes:
-        hosts: The hosts of each group, those that lead it first.
+        most: The maximum mean number of hosts in a group.
+        hosts: The hosts of each group, its leaders first.
         group_of: The group of each host.
         by_domain: The groups of each failure domain.
         domains: The failure domain of each host.
-        found: The group of each target that was dealt out or asked for.
+        found: The group of each target that was assigned or looked up.
     """
 
     def __init__(self, domains: Mapping[HostId, FailureDomain], max_peers: int):
@@ -75,7 +78,7 @@
 
         Args:
             domains: The failure domain of each host.
-            max_peers: How many links a host should have.
+            max_peers: The intended maximum number of links of a host.
         """
         self.most = max(1, int(max_peers * GROUP_SHARE))
         self.hosts: dict[GroupId, list[HostId]] = {}
@@ -92,8 +95,9 @@
     def _split(self, domain: FailureDomain, hosts: Sequence[HostId]) -> None:
         """Split the hosts of one failure domain.
 
-        The number of groups doubles as hosts join, so that a host which joins
-        moves others only when it does; each group is split in two then.
+        The number of groups is a power of two, so that a host that joins moves
+        other hosts only when the number doubles, which splits each group in
+        two.
         """
         count = 1
         while len(hosts) > count * self.most:
@@ -109,12 +113,13 @@
         self.by_domain[domain] = sorted(found, key=lambda group: group.number)
 
     def deal_out(self, targets: Iterable[PlacedTarget]) -> None:
-        """Give each group its part of the targets of each service.
+        """Assign each group its part of the targets of each service.
 
-        Each target goes to the group that its hash prefers, while that has room
-        for it. By the hash alone, of 46 targets for 96 hosts some groups have
-        three times as many for each host as others, and half of the work goes
-        to other groups' targets, which costs a connection each time.
+        Each target is assigned to the group with the highest hash among those
+        with capacity left. By the hash alone, with 46 targets for 96 hosts,
+        some groups get three times as many targets per host as others, and half
+        of the requests go to targets of other groups, each over a new
+        connection.
         """
         places: dict[tuple[FailureDomain, ServiceId], list[TargetId]]
         places = defaultdict(list)
@@ -128,7 +133,7 @@
     def _deal_out_one(
         self, domain: FailureDomain, service: ServiceId, names: list[TargetId]
     ) -> None:
-        """Deal out the targets that one service has in one failure domain."""
+        """Assign the targets of one service in one failure domain."""
         room = self._parts(self._near_groups(domain), service, len(names))
         for name in sorted(names, key=lambda each: _rank(PLACES_RANK, each)):
             group = self._preferred([g for g in room if room[g]], name)
@@ -139,12 +144,12 @@
     def _parts(
         self, groups: Sequence[GroupId], service: ServiceId, count: int
     ) -> dict[GroupId, int]:
-        """Return how many of `count` targets each group gets, by its hosts."""
+        """Divide `count` targets by the number of hosts in each group."""
         hosts = sum(len(self.hosts[group]) for group in groups)
         exact = {g: count * len(self.hosts[g]) / hosts for g in groups}
         parts = {group: int(part) for group, part in exact.items()}
         left = count - sum(parts.values())
-        # Whoever lacks most of its exact part has one of those left over.
+        # The groups with the largest rounding loss get one of the rest each.
         short = sorted(
             groups,
             key=lambda g: (parts[g] - exact[g], _rank(service, str(g.number))),
@@ -160,8 +165,8 @@
 
         Args:
             target: The target.
-            domain: Its failure domain. One without hosts leaves its targets
-                to the groups of all others.
+            domain: Its failure domain. If it has no hosts, the target is
+                assigned to a group of any other one.
         """
         if target not in self.found:
             self.found[target] = self._find_group(target, domain)
@@ -173,7 +178,7 @@
         return self._preferred(self._near_groups(domain), target)
 
     def _near_groups(self, domain: FailureDomain) -> Sequence[GroupId]:
-        """Return the groups of a failure domain, or all if it has none."""
+        """Return the groups of a failure domain, or all groups if none."""
         return self.by_domain.get(domain) or list(self.hosts)
 
     def _preferred(
@@ -188,11 +193,11 @@
     def leaders(
         self, group: GroupId, lost: Collection[HostId] = ()
     ) -> Sequence[HostId]:
-        """Return the hosts that lead `group`, the first one first.
+        """Return the leaders of `group`, the first leader first.
 
         Args:
             group: The group.
-            lost: Hosts that can't be reached now.
+            lost: Hosts that are unreachable now.
         """
         able = [host for host in self.hosts[group] if host not in lost]
         return able[:LEADERS]
--- a/agatetack/peers/handshake.py
+++ b/agatetack/peers/handshake.py
@@ -1,9 +1,9 @@
-"""Let two hosts prove to each other who they are when a connection opens.
+"""Mutual authentication of two hosts when a connection opens.
 
-The dialling host sends its hello, the accepting host answers with its own,
-then each proves that it holds the shared key by an HMAC over both hellos. The
-nonces in them are fresh, so that no proof serves twice, and the accepting
-host proves itself last, so that nobody learns a proof without the key.
+The dialling host sends its hello and the accepting host answers with its own.
+Then each proves that it has the shared key by an HMAC over both hellos. Their
+nonces are fresh, so that proofs can't be replayed. The accepting host sends its
+proof last, so that a host without the key never obtains a proof.
 """
 
 import enum
@@ -21,7 +21,7 @@
 )
 
 NONCE_BYTES = 16
-"""Bytes of randomness that each host adds to a connection's proofs."""
+"""Size of the random nonce in each hello."""
 
 _DIGEST = "sha256"
 
@@ -30,23 +30,23 @@
 
 
 class Side(enum.Enum):
-    """Which end of a connection a host is; part of its proof."""
+    """The role of a host in a connection; part of its proof."""
 
     DIALLING = b"dialling"
     ACCEPTING = b"accepting"
 
 
 def new_nonce() -> bytes:
-    """Return fresh random bytes for one hello."""
+    """Return a new random nonce for one hello."""
     return secrets.token_bytes(NONCE_BYTES)
 
 
 def proof_of(key: str | None, side: Side, dialled: bytes, met: bytes) -> bytes:
-    """Return what the host on `side` has to send to prove itself.
+    """Return the proof that the host on `side` has to send.
 
     Args:
         key: The shared key; without one the proof is empty.
-        side: Which end proves itself, so that no proof can be reflected.
+        side: The side of the sender, so that a proof can't be reflected.
         dialled: The hello frame of the dialling host.
         met: The hello frame of the accepting host.
     """
@@ -67,22 +67,22 @@
     """Exchange hellos and proofs and return the other host's hello.
 
     Args:
-        side: Which end of the connection this host is.
+        side: The side of this host.
         key: The shared key, or None.
         own: This host's hello, with a fresh nonce.
         reader: Reads the other host's frames.
         send: Sends frames to it.
-        admit: Checks the other host's hello; raises LinkClosed.
+        admit: Checks the other host's hello; raises LinkClosed to reject it.
 
     Raises:
-        LinkClosed: The other host isn't admitted or holds another key.
+        LinkClosed: The other host was rejected or has another key.
     """
     own_frame = encode_frame(ttypes.Frame(hello=own))
     if side is Side.DIALLING:
         await send(own_frame)
     theirs = await _receive_hello(reader)
-    # The proof covers the bytes as they came, as a newer host may send fields
-    # that are not known here.
+    # The proof covers the bytes as received, because a newer host may send
+    # fields that this version doesn't know.
     texts = own_frame, reader.last_frame
     admit(theirs)
     if side is Side.ACCEPTING:
--- a/agatetack/peers/identity.py
+++ b/agatetack/peers/identity.py
@@ -1,4 +1,4 @@
-"""Tell who this host is, and when it says so to the whole fleet."""
+"""This host's identity and the timing of its announcements to the fleet."""
 
 import random
 
@@ -11,32 +11,32 @@
 from agatetack.settings.model import Endpoint, Settings
 
 ANNOUNCEMENTS_PER_SECOND = 1.0
-"""Hosts of the whole fleet that announce themselves in one second.
+"""Announcements of all hosts of the fleet together in one second.
 
-Each host passes each announcement on to all of its links, so this figure sets
-what they cost. A start and a leaving are announced at once besides.
+Each host forwards each announcement over all of its links, so this rate sets
+their cost. Hosts also announce at once that they start or leave.
 """
 
 MIN_ANNOUNCE_SECONDS = 10.0
-"""Shortest time between two announcements of one host."""
+"""Minimum time between two announcements of one host."""
 
 LIVE_ANNOUNCEMENTS = 3
-"""A host is taken for gone after this many announcements were missed."""
+"""Missed announcements after which a host is considered dead."""
 
 
 class Identity:
-    """Who this host is.
+    """The identity of this host.
 
     Attributes:
-        own: Its name.
-        failure_domain: Where it is.
-        incarnation: Its start, in ns since 1970.
-        port: The port listened on; the real one once that is known.
+        own: Its id.
+        failure_domain: Its failure domain.
+        incarnation: When its process started, in ns since 1970.
+        port: The port of the settings; the bound port once that is known.
         leaving: Whether it has announced that it is leaving.
     """
 
     def __init__(self, settings: Settings, clock: Clock):
-        """Take the incarnation from the clock."""
+        """Set the incarnation from the wall clock."""
         self.settings = settings.peers
         self.own = HostId(settings.host.id)
         self.failure_domain = FailureDomain(settings.host.failure_domain)
@@ -46,13 +46,13 @@
 
     @property
     def address(self) -> Endpoint:
-        """Return where peers can dial this host."""
+        """Return the address at which peers can dial this host."""
         if self.settings.advertise is not None:
             return self.settings.advertise
         return Endpoint(ip=self.settings.listen.ip, port=self.port)
 
     def hello(self) -> ttypes.Hello:
-        """Return what this host says when a connection opens."""
+        """Return the hello that this host sends when a connection opens."""
         address = self.address
         return ttypes.Hello(
             version=PROTOCOL_VERSION,
@@ -67,7 +67,7 @@
         )
 
     def member(self) -> ttypes.Member:
-        """Return what this host says to the whole fleet."""
+        """Return this host's announcement to the fleet."""
         address = self.address
         return ttypes.Member(
             host=self.own,
@@ -80,7 +80,7 @@
 
 
 class Announcements:
-    """When hosts announce themselves, and how long that holds."""
+    """The interval and lifetime of hosts' announcements."""
 
     def __init__(
         self,
@@ -89,26 +89,26 @@
         clock: Clock,
         source: random.Random,
     ):
-        """Draw from `source`."""
+        """Draw the jitter from `source`."""
         self.drain_seconds = settings.lifecycle.drain_seconds
         self.members = members
         self.clock = clock
         self.random = source
 
     def next_at(self) -> Deadline:
-        """Return when this host announces itself again."""
+        """Return the time of this host's next announcement."""
         seconds = self._interval_seconds() * self.random.uniform(0.8, 1.0)
         return Deadline(self.clock.now() + seconds)
 
     def live_until(self, leaving: bool = False) -> Deadline:
-        """Return until when a host that was heard now is taken for live."""
+        """Return until when a host heard from now is considered live."""
         seconds = LIVE_ANNOUNCEMENTS * self._interval_seconds()
         if leaving:
             seconds = min(seconds, self.drain_seconds)
         return Deadline(self.clock.now() + seconds)
 
     def member_of(self, said: ttypes.Member | ttypes.Hello) -> Member:
-        """Return what a host said of itself now."""
+        """Return the member that a message just received describes."""
         leaving = bool(said.leaving)
         return Member(
             id=HostId(said.host),
--- a/agatetack/peers/link.py
+++ b/agatetack/peers/link.py
@@ -1,7 +1,7 @@
-"""Keep one connection with one peer: frames, heartbeats and their deadlines.
+"""One connection with one peer: frames, heartbeats and their deadlines.
 
-One task reads, and a second one beside it writes, as a connection that waits
-for bytes must still send heartbeats. Both end together.
+One task reads and another one writes, because heartbeats have to be sent also
+while the reader waits for bytes. Both tasks end together.
 """
 
 import abc
@@ -27,13 +27,13 @@
 
 
 class LinkOwner(abc.ABC):
-    """Whoever takes what comes over a link.
+    """The receiver of the frames of a link.
 
     Attributes:
-        settings: How links are kept.
-        clock: Tells when they are overdue.
-        budget: Grants the bytes of all links together.
-        counters: Count what passes.
+        settings: The settings of links.
+        clock: The clock for the deadlines of links.
+        budget: The byte budget of all links together.
+        counters: Count the traffic.
         leaving: Whether this host has announced that it is leaving.
     """
 
@@ -45,34 +45,42 @@
 
     @abc.abstractmethod
     def heard(self, link: "Link") -> None:
-        """Note that bytes came from the peer."""
+        """Handle a heartbeat of the peer."""
 
     @abc.abstractmethod
     def take(self, link: "Link", frame: ttypes.Frame) -> None:
-        """Take a frame that is neither a heartbeat nor a reply.
+        """Handle a frame that is neither a heartbeat nor a reply.
 
         Raises:
-            LinkClosed: The peer may not send this.
+            LinkClosed: The frame is not allowed or exceeds a limit.
         """
 
 
 class Link:
-    """One connection with a peer that has proved who it is.
+    """One connection with an authenticated peer.
 
     Attributes:
-        hello: What the peer said of itself.
-        id: The peer's name.
-        side: Which end this host is.
+        hello: The peer's hello.
+        id: The peer's id.
+        side: The side of this host.
         leaving: Whether the peer has announced that it is leaving.
-        missing: Hosts that the peer wants a link with and has none.
-        silent_at: When the peer is taken for gone unless bytes come.
+        missing: Hosts that the peer chose but has no link with.
+        silent_at: When the link is closed as silent unless bytes arrive.
         reason: Why the link was closed, or None.
         calls: Calls to the peer that wait for their replies.
-        incoming: Calls of the peer that are not whole yet.
-        answering: Calls of the peer that are being answered.
+        incoming: Incomplete calls of the peer.
+        control: Encoded control frames to send, with the highest priority.
+        published: Encoded published messages to send.
+        work: Calls and replies that are exempt from the byte budget.
+        outgoing: Calls and replies that are subject to the byte budget.
+        answering: Number of calls of the peer that are being answered.
         sending: Whether the writing task is sending.
-        unsent: The rest of a frame of which the socket took a part.
-        ended: Set once the link is closed and its owner has let it go.
+        unsent: The rest of a frame that the socket accepted in part.
+        ended: Set once the link is closed and its owner has removed it.
+        sequence: Number of the last heartbeat sent.
+        heard_sequence: Highest number of a heartbeat received.
+        unacknowledged: Heartbeats sent, as numbers with the deadlines of
+            their acknowledgements.
     """
 
     def __init__(
@@ -83,7 +91,7 @@
         side: Side,
         owner: LinkOwner,
     ):
-        """Take over `stream` after the handshake."""
+        """Use `stream` after the handshake."""
         self.stream = stream
         self.reader = reader
         self.hello = hello
@@ -120,26 +128,26 @@
 
     @property
     def incarnation(self) -> int:
-        """Return the peer's start, in ns since 1970."""
+        """Return when the peer's process started, in ns since 1970."""
         return self.hello.incarnation
 
     @property
     def fills_in_origin(self) -> bool:
-        """Return whether the peer takes messages without their origin."""
+        """Return whether the peer accepts messages without their origin."""
         return bool(self.hello.fills_in_origin)
 
     @property
     def failure_domain(self) -> FailureDomain:
-        """Return where the peer is."""
+        """Return the peer's failure domain."""
         return FailureDomain(self.hello.failure_domain)
 
     @property
     def live(self) -> bool:
-        """Return whether the peer was heard lately over this link."""
+        """Return whether bytes were received over this link recently."""
         return self.reason is None and self.clock.now() < self.silent_at
 
     async def run(self) -> CloseReason:
-        """Serve the link until it is closed and return why."""
+        """Serve the link until it is closed; return the reason."""
         self._move_deadline()
         try:
             with self.scope:
@@ -155,25 +163,25 @@
         return self.reason
 
     def close(self, reason: CloseReason) -> None:
-        """End the link; the first reason given is kept."""
+        """Close the link; if called again, the first reason is kept."""
         self.reason = self.reason or reason
         self.scope.cancel()
 
     def send_control(self, frame: ttypes.Frame) -> None:
-        """Send a small frame before all others, if the budget has room."""
+        """Queue a small frame before all others; drop it if over budget."""
         self.control.append(encode_frame(frame))
         self.wake.set()
 
     def send_heartbeat(self) -> None:
-        """Send a heartbeat now instead of at its time."""
+        """Send a heartbeat now instead of at the next interval."""
         self.heartbeat_at = self.clock.now()
         self.wake.set()
 
     def publish(self, content: bytes) -> bool:
-        """Queue an encoded frame whose bytes the budget has granted.
+        """Send or queue an encoded frame whose bytes the budget has granted.
 
         Returns:
-            False if the peer takes its bytes too slowly to queue more.
+            False if the queue is full because the peer reads too slowly.
         """
         room = self.settings.max_frame_bytes - self.published_bytes
         if len(content) > room:
@@ -186,10 +194,10 @@
         return True
 
     def _send_at_once(self, content: bytes) -> bool:
-        """Send `content` without the writing task, if nothing is before it.
+        """Send `content` without the writing task if nothing is queued.
 
-        Nearly every message finds its link idle, and waking the task for it
-        costs more than sending it.
+        The link is idle for nearly every message, and waking the task costs
+        more than sending the message.
         """
         queued = self.sending or self.unsent or self.control or self.published
         if queued or not isinstance(self.stream, PlainStream):
@@ -202,13 +210,13 @@
         return sent > 0
 
     def send_outgoing(self, outgoing: Outgoing) -> None:
-        """Queue a call or reply; it is sent as the budget allows."""
+        """Queue a call or reply, which is sent as the budget allows."""
         queue = self.outgoing if outgoing.budgeted else self.work
         queue.append(outgoing)
         self.wake.set()
 
     def withdraw(self, outgoing: Outgoing) -> None:
-        """Leave out a call that nobody waits for, if it wasn't begun."""
+        """Remove a call that is no longer awaited, unless partly sent."""
         for queue in (self.work, self.outgoing):
             if not outgoing.started and outgoing in queue:
                 queue.remove(outgoing)
@@ -312,8 +320,8 @@
         return Deadline(self.clock.now() + self.settings.timeout_seconds)
 
     def _move_deadline(self) -> None:
-        # Moved with each heartbeat sent, not with each frame received, as
-        # that is soon enough and costs less.
+        # Called for each heartbeat sent, not for each frame received: that is
+        # often enough and costs less.
         deadline = self.silent_at
         if self.unacknowledged:
             deadline = min(deadline, self.unacknowledged[0][1])
--- a/agatetack/peers/members.py
+++ b/agatetack/peers/members.py
@@ -1,4 +1,4 @@
-"""Hold which hosts of the fleet are known, from the list and by hearing."""
+"""The known hosts of the fleet, from the platform's list and from messages."""
 
 import dataclasses
 from collections.abc import Sequence
@@ -9,25 +9,25 @@
 from agatetack.peers.exchange import GatewayDirectory
 
 INCARNATION_MEMORY_SECONDS = 60.0
-"""How long a host's incarnation is remembered after it was last heard.
+"""How long the incarnation of a dead host is remembered.
 
-A host whose clock was set back restarts with a lower incarnation; after this
-time it is taken for new.
+A host whose clock was set back restarts with a lower incarnation, which is
+rejected until the old one is forgotten after this time.
 """
 
 
 @dataclasses.dataclass(slots=True)
 class Member:
-    """A host that was heard, over a link or by a relayed message.
+    """A host known from a link or from a forwarded message.
 
     Attributes:
-        id: Its name.
-        incarnation: Its start, in ns since 1970.
-        failure_domain: Where it is.
-        ip: Where it can be dialled.
+        id: Its id.
+        incarnation: When its process started, in ns since 1970.
+        failure_domain: Its failure domain.
+        ip: The IP address at which peers can dial it.
         port: Its port for peers.
         leaving: Whether it has announced that it is leaving.
-        live_until: When it is taken for gone unless heard again.
+        live_until: When it is considered dead unless it sends again.
     """
 
     id: HostId
@@ -40,12 +40,12 @@
 
 
 class MemberTable:
-    """The view of one host: the platform's list and the hosts heard.
+    """One host's view of the fleet: the platform's list and known members.
 
-    Sizes are kept, as they are asked for with each message.
+    The number of live members is cached, because it is needed for each message.
 
     Attributes:
-        heard: Hosts heard of lately, by id, without this one.
+        heard: Members known from links and messages, by id, without this host.
         listed: The other hosts that the platform lists, by id.
         live_count: How many of `heard` were live at the last `refresh`.
     """
@@ -53,7 +53,7 @@
     def __init__(
         self, own: HostId, directory: GatewayDirectory, clock: Clock
     ) -> None:
-        """Start with nobody heard."""
+        """Start with the platform's list and no members."""
         self.own = own
         self.directory = directory
         self.clock = clock
@@ -63,19 +63,19 @@
         self.read_list()
 
     def read_list(self) -> None:
-        """Take over the platform's list; called when it changes."""
+        """Read the platform's list; called when it changes."""
         gateways = self.directory.gateways()
         self.listed = {h.id: h for h in gateways if h.id != self.own}
 
     def incarnation(self, host: HostId) -> int:
-        """Return the highest incarnation heard of `host`, or 0."""
+        """Return the highest known incarnation of `host`, or 0."""
         member = self.heard.get(host)
         return 0 if member is None else member.incarnation
 
     def note(self, member: Member) -> bool:
-        """Keep what was heard; return whether the view changed by it.
+        """Add or update a member; return whether that changed the view.
 
-        A member with an older incarnation than was heard before is ignored.
+        A member with a lower incarnation than the known one is ignored.
         """
         known = self.heard.get(member.id)
         if member.id == self.own:
@@ -89,18 +89,18 @@
         changed = member.leaving and not known.leaving
         if changed:
             known.leaving = True
-            # It ends sooner than was thought before.
+            # A leaving host has an earlier deadline than a live one.
             known.live_until = member.live_until
         return self._extend(known, member.live_until) or changed
 
     def touch(self, host: HostId, incarnation: int, until: Deadline) -> None:
-        """Note that `host` was heard and is taken for live until then."""
+        """Consider `host` live until then, after a message from it."""
         member = self.heard.get(host)
         if member is not None and member.incarnation == incarnation:
             self._extend(member, until)
 
     def _extend(self, member: Member, until: Deadline) -> bool:
-        """Take `member` for live until then; return whether it was gone."""
+        """Consider `member` live until then; return whether it was dead."""
         revived = member.live_until <= self.clock.now()
         if revived:
             self.live_count += 1
@@ -108,16 +108,17 @@
         return revived
 
     def mark_leaving(self, host: HostId, incarnation: int) -> None:
-        """Note that `host` is leaving."""
+        """Record that `host` is leaving."""
         member = self.heard.get(host)
         if member is not None and member.incarnation == incarnation:
             member.leaving = True
 
     def link_lost(self, host: HostId, incarnation: int) -> None:
-        """Note that the link with `host` was lost.
+        """Handle the loss of the link with `host`.
 
-        Only a host that announced its leaving is taken for gone by this. Any
-        other may live on behind a cut link and spend its share of budgets.
+        Only a host that announced that it is leaving is considered dead now.
+        Any other may still be running behind a network partition and use its
+        share of budgets.
         """
         member = self.heard.get(host)
         if member is None or member.incarnation != incarnation:
@@ -126,7 +127,7 @@
             member.live_until = self.clock.now()
 
     def refresh(self) -> None:
-        """Count the live members and forget those long gone."""
+        """Count the live members and remove those dead for long."""
         horizon = self.clock.now() - INCARNATION_MEMORY_SECONDS
         old = [m.id for m in self.heard.values() if m.live_until < horizon]
         for host in old:
@@ -134,17 +135,20 @@
         self.live_count = len(self.live())
 
     def live(self) -> Sequence[Member]:
-        """Return the hosts heard of that are not taken for gone."""
+        """Return the members that are not considered dead."""
         now = self.clock.now()
         return [m for m in self.heard.values() if m.live_until > now]
 
     def domains(self) -> dict[HostId, FailureDomain]:
-        """Return the failure domain of every other host, listed or heard."""
+        """Return the failure domain of every live or listed other host."""
         domains = {m.id: m.failure_domain for m in self.live()}
         for host in self.listed.values():
             domains.setdefault(host.id, host.failure_domain)
         return domains
 
     def fleet_size(self) -> int:
-        """Return the larger of both views' sizes, this host included."""
+        """Return the larger of the counts of listed and live hosts.
+
+        Both include this host.
+        """
         return 1 + max(len(self.listed), self.live_count)
--- a/agatetack/peers/mesh.py
+++ b/agatetack/peers/mesh.py
@@ -1,11 +1,11 @@
-"""Exchange messages with the other hosts over links of this host's own.
-
-Up to `peers.max_peers` hosts every host has a link with every other one, and
-messages on load cross to another failure domain once, to one host there that
-passes them on to the others. Above that hosts are split into groups, see
-`groups`: the leaders of the groups pass on what every host needs. What a host
-hears of another through a third never makes it believe that it can reach that
-host itself.
+"""Exchange messages with the other hosts over links.
+
+Up to `peers.max_peers` other hosts, every host has a link with every other one.
+Messages about load are then sent only once to each other failure domain, to one
+host that forwards them there. In a larger fleet, hosts are split into groups,
+see `groups`, and the leaders of the groups forward what every host needs. A
+forwarded message shows that its origin is live, but not that this host can
+reach it.
 """
 
 import random
@@ -50,17 +50,17 @@
 LOG = PartLog("peers")
 
 Take = Callable[[int, Deadline], bool]
-"""Takes bytes from the budget now, if they are there."""
+"""Takes bytes from the budget; returns whether they were available."""
 
 
 class PeerExchange(Exchange, ConnectorOwner):
     """The exchange of one host with all others.
 
     Attributes:
-        identity: Who this host is.
-        members: The hosts known.
+        identity: The identity of this host.
+        members: The known hosts.
         connector: The links of this host.
-        reach: Which of them a message goes over.
+        reach: Selects the links for a message.
     """
 
     def __init__(
@@ -98,7 +98,7 @@
 
     @property
     def port(self) -> int:
-        """Return the port listened on; the real one once `run` has started."""
+        """Return the port of the settings, or the bound one during `run`."""
         return self.identity.port
 
     @property
@@ -111,7 +111,7 @@
     ) -> None:
         """Keep links with the other hosts until cancelled.
 
-        Reports the port listened on once peers can connect.
+        Reports the bound port once peers can connect.
         """
         listen = self.settings.listen
         listeners = await trio.open_tcp_listeners(listen.port, host=listen.host)
@@ -129,7 +129,7 @@
     def publish(
         self, topic: Topic, payload: bytes, scope: Scope = Scope.ALL
     ) -> None:
-        """Send to connected peers; dropped when over the byte budget."""
+        """Send to connected peers; drop messages over the byte budget."""
         links = self.reach.links_in(scope, topic.value)
         if links:
             self._publish(topic.value, payload, links)
@@ -152,7 +152,7 @@
         return await self.calls.call(link, topic, payload, deadline)
 
     def live_peers(self) -> Sequence[Peer]:
-        """Return the peers that are heard over a link with this host."""
+        """Return the hosts with a live link to this one."""
         return [
             Peer(link.id, link.incarnation, link.failure_domain, link.leaving)
             for link in self.connector.links.values()
@@ -167,9 +167,9 @@
         return [peer for peer in peers if self.reach.is_of_group(peer.id)]
 
     def known_hosts(self) -> Sequence[Peer]:
-        """Return all other hosts that are taken for live.
+        """Return all other hosts that are considered live.
 
-        A host that this one wants a link with and has none is not live.
+        A host that this one chose as peer but has no live link with is not.
         """
         peers = {peer.id: peer for peer in self.live_peers()}
         if not self.bounded:
@@ -187,17 +187,17 @@
 
     @property
     def bounded(self) -> bool:
-        """Return whether the fleet is too large for links with all."""
+        """Return whether the fleet is too large for a full mesh of links."""
         return self.connector.bounded
 
     @property
     def is_leader(self) -> bool:
-        """Return whether this host passes on what its group has to hear."""
+        """Return whether this host forwards messages to its group."""
         return self.reach.is_leader
 
     @property
     def is_first_leader(self) -> bool:
-        """Return whether this host tells others of its group's targets."""
+        """Return whether this host reports its group's targets to others."""
         return self.reach.is_first_leader
 
     def first_leaders(self) -> Sequence[HostId]:
@@ -205,51 +205,51 @@
         return self.reach.first_leaders()
 
     def group_hosts(self) -> Sequence[HostId]:
-        """Return the hosts of this one's group, itself included."""
+        """Return the hosts of this host's group, itself included."""
         return self.reach.group_hosts()
 
     def shares_target(self, target: TargetId, domain: FailureDomain) -> bool:
-        """Return whether `target` is one of this host's group."""
+        """Return whether `target` is assigned to this host's group."""
         return self.reach.shares_target(target, domain)
 
     def note_targets(self, targets: Sequence[PlacedTarget]) -> None:
-        """Take all targets there are, to be shared out among the groups."""
+        """Set all targets, which are divided among the groups."""
         self.connector.note_targets(targets)
 
     def fleet_size(self) -> int:
-        """Return the larger of the list and the hosts heard of lately."""
+        """Return the larger of the counts of listed and live hosts."""
         return self.members.fleet_size()
 
     def announce_leaving(self) -> None:
-        """Tell all hosts that this one is leaving."""
+        """Announce to all hosts that this one is leaving."""
         self.identity.leaving = True
         for link in self.connector.links.values():
             link.send_heartbeat()
         self._publish_self()
 
     def hello(self) -> ttypes.Hello:
-        """Return what this host says of itself, with a fresh nonce."""
+        """Return this host's hello, with a fresh nonce."""
         return self.identity.hello()
 
     def linked(self, link: Link) -> None:
-        """Note that a link stands."""
+        """Handle a new link."""
         self._note_member(link.hello)
         self._count_peers()
 
     def unlinked(self, link: Link) -> None:
-        """Note that a link was closed."""
+        """Handle a closed link."""
         self.members.link_lost(link.id, link.incarnation)
         self._count_peers()
 
     def heard(self, link: Link) -> None:
-        """Note that a peer is live."""
+        """Handle a heartbeat: the peer is live."""
         until = self.announcements.live_until()
         self.members.touch(link.id, link.incarnation, until)
         if link.leaving:
             self.members.mark_leaving(link.id, link.incarnation)
 
     def take(self, link: Link, frame: ttypes.Frame) -> None:
-        """Take a published message, a call or the hosts a peer misses."""
+        """Handle a published message, a call or a peer's missing links."""
         if frame.publish is not None:
             self._take_publish(link, frame.publish)
         elif frame.call is not None:
@@ -275,8 +275,8 @@
         take: Take | None = None,
     ) -> None:
         take = take or self.budget.take_publish
-        # When the budget ends midway, it should not be the same peers that
-        # miss the message each time.
+        # If the budget doesn't suffice for all links, a random order keeps the
+        # same peers from missing the message each time.
         order = list(links)
         self.random.shuffle(order)
         now = self.clock.now()
@@ -318,7 +318,7 @@
         if self.reach.is_for_others(link, publish):
             targets = self.reach.near_links()
         elif publish.flood and not self.is_leader:
-            # The leaders of the group pass it on.
+            # The leaders of the group forward it.
             targets = []
         else:
             targets = self.relay.targets(publish, link, self.connector.links)
@@ -331,10 +331,11 @@
             try:
                 handler(HostId(publish.origin), publish.payload)
             except Exception as error:  # noqa: BLE001
-                # A reader's fault must not cost the link that others use.
+                # An error in a handler must not close the link, which other
+                # handlers use, too.
                 self.counters.dropped("handler-failed")
                 LOG.error(
-                    "A message of %s was not taken: %r.",
+                    "A handler of a message from %s failed: %r.",
                     publish.origin,
                     error,
                 )
@@ -345,7 +346,8 @@
             self.counters.dropped("member-malformed")
             return
         self._note_member(said)
-        # That a host is leaving must be heard, that it is live may wait.
+        # Announcements that a host is live may be dropped when over budget; a
+        # leaving host has no next announcement.
         leaving = bool(said.leaving)
         take = None if leaving else self.budget.take_announcement
         self._pass_on(link, publish, take)
@@ -363,7 +365,7 @@
         self.metrics.peers.set({}, len(self.connector.links))
 
     async def _announce(self) -> None:
-        """Tell hosts without a link with this one that it is live."""
+        """Regularly announce this host as live to hosts without a link."""
         await trio.sleep(self.settings.heartbeat_seconds)
         while True:
             self._publish_self()
--- a/agatetack/peers/reach.py
+++ b/agatetack/peers/reach.py
@@ -1,4 +1,4 @@
-"""Say which links a message goes over, and whom a host passes it on to."""
+"""Select the links over which messages are sent and forwarded."""
 
 from collections.abc import Sequence
 
@@ -12,30 +12,31 @@
 
 
 class Reach:
-    """Whom one host reaches by which of its links.
+    """Selects the links of one host for each message.
 
-    In a fleet with links among all, messages on load go to all of the own
-    failure domain and to one host of each other one. In a larger fleet they go
-    to the own group, and from its first leader to the leaders of others.
+    In a full mesh of links, messages about load are sent to all hosts of the
+    own failure domain and to one host of each other one. In a larger fleet
+    they are sent to the own group, and by its first leader to leaders of
+    other groups.
     """
 
     def __init__(
         self, own: HostId, failure_domain: FailureDomain, connector: Connector
     ):
-        """Choose among the links of `connector`, which is `own`'s."""
+        """Select among the links of `connector`, the connector of `own`."""
         self.own = own
         self.failure_domain = failure_domain
         self.connector = connector
 
     @property
     def is_leader(self) -> bool:
-        """Return whether this host passes on what its group has to hear."""
+        """Return whether this host forwards messages to its group."""
         connector = self.connector
         return connector.bounded and self.own in connector.leaders
 
     @property
     def is_first_leader(self) -> bool:
-        """Return whether this host tells others of its group's targets."""
+        """Return whether this host reports its group's targets to others."""
         connector = self.connector
         return connector.bounded and self.own in connector.leaders[:1]
 
@@ -52,26 +53,26 @@
         return () if groups is None else groups.hosts[self.connector.group]
 
     def is_of_group(self, host: HostId) -> bool:
-        """Return whether a host is of the own group."""
+        """Return whether a host is in the own group."""
         groups = self.connector.groups
         if groups is None:
             return False
         return groups.group_of.get(host) == self.connector.group
 
     def shares_target(self, target: TargetId, domain: FailureDomain) -> bool:
-        """Return whether a target is the own group's, or there are none."""
+        """Return whether a target is the own group's; True without groups."""
         groups = self.connector.groups
         if groups is None:
             return True
         return groups.of_target(target, domain) == self.connector.group
 
     def near_links(self) -> list[Link]:
-        """Return the links over which messages on load stay near."""
+        """Return the links with the hosts of `Scope.NEAR`."""
         links = self.connector.links.values()
         return [link for link in links if self._is_near(link)]
 
     def links_in(self, scope: Scope, topic: int) -> list[Link]:
-        """Return the links over which a message reaches all of `scope`."""
+        """Return the links over which to send a message to `scope`."""
         links = list(self.connector.links.values())
         if scope is Scope.DOMAIN:
             return [link for link in links if self._is_of_domain(link)]
@@ -84,15 +85,16 @@
             return near
         far = self._far_links(links)
         if scope is Scope.FAR:
-            # In a small fleet nobody is left out of what goes near.
+            # In a small fleet `NEAR` already includes all hosts.
             return far if self.connector.bounded else []
         return [*near, *far]
 
     def is_for_others(self, link: Link, publish: ttypes.Publish) -> bool:
-        """Return whether this host is to tell those near what comes from far.
+        """Return whether this host forwards a message to the near hosts.
 
-        In a small fleet a host of another failure domain chose it for that;
-        in a large one the leader of another group told each first leader.
+        In a small fleet, the origin in another failure domain chose this host
+        to forward it. In a large one, the first leader of another group sent it
+        to this group's first leader.
         """
         if publish.topic not in DOMAIN_TOPICS or publish.origin != link.id:
             return False
@@ -111,7 +113,7 @@
         return link.failure_domain == self.failure_domain
 
     def _far_links(self, links: Sequence[Link]) -> list[Link]:
-        """Return the links over which load is told beyond those near."""
+        """Return the links over which load is sent beyond the near hosts."""
         if self.connector.bounded:
             far = [link for link in links if not self._is_near(link)]
             return far if self.is_first_leader else []
--- a/agatetack/peers/relay.py
+++ b/agatetack/peers/relay.py
@@ -1,6 +1,7 @@
-"""Decide which published messages of other hosts this host passes on.
+"""Decide which published messages of other hosts this host forwards.
 
-Messages that came before, by another way or from a past host, are recognised.
+Duplicates, which arrive over several links, and messages of old incarnations
+are detected.
 """
 
 import dataclasses
@@ -15,7 +16,7 @@
 from agatetack.peers.link import Link
 
 MEMBER_TOPIC = 0
-"""The topic of hosts' announcements of themselves; no slice reads it."""
+"""The topic of hosts' announcements; no other package reads it."""
 
 RELAYED_TOPICS = frozenset(
     {
@@ -26,37 +27,45 @@
         Topic.TARGET_DRAINS.value,
     }
 )
-"""Topics that every host needs. The others are for linked hosts only: load
-samples of a large fleet would fill every host's budget, and an offset tells
-the next host enough to fetch what it lacks."""
+"""Topics that are forwarded to every host.
+
+The others are for linked hosts only: load samples of a large fleet would use up
+every host's budget, and an offset is enough for a linked host to fetch the
+records that it lacks.
+"""
 
 DOMAIN_TOPICS = frozenset({Topic.LOAD_SAMPLES.value, Topic.IN_FLIGHT.value})
-"""Topics that a host of another failure domain tells to one host of this one,
-for all of them.
+"""Topics that are sent only once to each other failure domain.
 
-Bytes between failure domains are paid for, and load is told hundreds of times
-a second. A relay that is lost without a word keeps its part of the
-messages from its domain until it is taken for gone; reports of the targets
-themselves stand in for them meanwhile.
+One host there forwards the messages, because traffic between failure domains is
+charged and load is reported hundreds of times a second. If that host fails
+unnoticed, the messages sent to it don't reach its failure domain until it is
+considered dead; the targets' own load reports are used meanwhile.
 """
 
 GATHERED_TOPICS = frozenset({Topic.LOAD_SAMPLES.value})
-"""Topics whose readers at the first leader of a group tell the group what other
-groups say, in fewer messages."""
+"""Topics that first leaders of groups don't forward message by message.
+
+Their handlers at the first leader of a group combine the messages of other
+groups and send them to the group in fewer messages.
+"""
 
 RELAYS_FOR_CUT_LINK = 2
-"""Hosts that pass on messages between two hosts without a link."""
+"""Number of hosts that forward messages between two hosts without a link."""
 
 
 WINDOW = 1024
-"""How far behind an origin's newest message one may arrive and be taken."""
+"""Number of sequence numbers per origin that are checked for duplicates.
+
+A message this far behind its origin's newest one is dropped as a duplicate.
+"""
 
 MAX_ORIGINS = 8192
-"""Origins remembered; the one heard longest ago is forgotten first."""
+"""Maximum number of origins remembered; the least recent one is removed."""
 
 
 class Verdict(enum.Enum):
-    """What is known of an arriving message."""
+    """The result of the duplicate check of a message."""
 
     NEW = "new"
     DUPLICATE = "duplicate"
@@ -65,12 +74,12 @@
 
 @dataclasses.dataclass(slots=True)
 class OriginWindow:
-    """The messages of one origin that were seen.
+    """The sequence numbers received from one origin.
 
     Attributes:
-        incarnation: The highest heard of.
-        highest: The highest sequence number seen.
-        seen: Bit n tells whether `highest - n` was seen.
+        incarnation: The highest incarnation received.
+        highest: The highest sequence number received.
+        seen: Bit n is set if `highest - n` was received.
     """
 
     incarnation: int
@@ -79,14 +88,14 @@
 
 
 class DuplicateFilter:
-    """The messages seen lately from every origin, in bounded memory."""
+    """Detects duplicates of recent messages, with bounded memory."""
 
     def __init__(self) -> None:
-        """Start with nothing seen."""
+        """Start without any origin."""
         self.origins: OrderedDict[str, OriginWindow] = OrderedDict()
 
     def check(self, origin: str, incarnation: int, sequence: int) -> Verdict:
-        """Return whether a message is new, and remember it."""
+        """Return whether a message is new and record it."""
         window = self.origins.get(origin)
         if window is None or incarnation > window.incarnation:
             window = OriginWindow(incarnation, highest=sequence)
@@ -112,7 +121,7 @@
 
 
 class Relay:
-    """What one host publishes and passes on."""
+    """What one host publishes and forwards."""
 
     def __init__(self, own: HostId, incarnation: int):
         """Number this host's own messages from 1."""
@@ -124,7 +133,7 @@
     def new_publish(
         self, topic: int, payload: bytes, flood: bool
     ) -> ttypes.Publish:
-        """Return a message of this host with the next number."""
+        """Return a message of this host with the next sequence number."""
         self.sequence += 1
         return ttypes.Publish(
             origin=self.own,
@@ -136,7 +145,7 @@
         )
 
     def check(self, publish: ttypes.Publish) -> Verdict:
-        """Return whether a message that arrived is new, and remember it."""
+        """Return whether a received message is new and record it."""
         if publish.origin == self.own:
             return Verdict.DUPLICATE
         return self.filter.check(
@@ -149,11 +158,11 @@
         source: Link,
         links: Mapping[HostId, Link],
     ) -> list[Link]:
-        """Return the links to pass a new message on over.
+        """Return the links over which to forward a new message.
 
         Args:
             publish: The message.
-            source: The link that it came over.
+            source: The link over which it was received.
             links: All links of this host.
         """
         if publish.topic not in RELAYED_TOPICS:
@@ -170,8 +179,8 @@
         return [
             link
             for link in others
-            # One end may still hold a link with a past incarnation, so the
-            # word of either is enough.
+            # One end may still have a link with an old incarnation, so it
+            # suffices that either end misses the other.
             if (source.id in link.missing or link.id in source.missing)
             and self._relays_between(source, link, links)
         ]
@@ -179,8 +188,8 @@
     def _relays_between(
         self, source: Link, target: Link, links: Mapping[HostId, Link]
     ) -> bool:
-        # Both ends tell all their peers whom they miss, so the hosts that
-        # have links with both agree on who of them passes messages on.
+        # Both ends send the hosts they miss to all their peers, so the hosts
+        # with links to both agree on which of them forward messages.
         cut = source.missing | target.missing | {source.id, target.id}
         able = [host for host in (self.own, *links) if host not in cut]
         pair = f"{source.id}>{target.id}"
@@ -189,10 +198,10 @@
 
 
 def without_origin(publish: ttypes.Publish) -> ttypes.Publish:
-    """Return a host's own message as it goes to peers that know its origin.
+    """Return a message without the origin, for peers that can derive it.
 
-    A message that tells of one request is half as long then, and they are the
-    most that a host sends.
+    This halves the size of a message about one request, the most frequent kind
+    of message.
     """
     return ttypes.Publish(
         sequence=publish.sequence,
--- a/agatetack/peers/test_budget.py
+++ b/agatetack/peers/test_budget.py
@@ -1,4 +1,4 @@
-"""Check which frames may use which part of the byte budget."""
+"""Test the limits of the byte budget for each kind of frame."""
 
 import pytest
 
@@ -21,11 +21,11 @@
     budget = peers_budget(RATE)
     granted = sum(10 for _ in range(200) if take(budget, 10, Deadline(0.0)))
     assert granted == most
-    # There is no debt: what is left can be used, and no more comes unearned.
+    # The rest can be used, and only refills add more.
     assert budget.take_control(int(RATE - most), Deadline(0.0))
     assert not budget.take_control(1, Deadline(0.0))
     assert budget.take_control(100, Deadline(0.1))
-    # Nor is more than one second's kept for later.
+    # The bucket never holds the bytes of more than one second.
     assert not budget.take_control(int(RATE) + 1, Deadline(1000.0))
 
 
--- a/agatetack/peers/test_calls.py
+++ b/agatetack/peers/test_calls.py
@@ -1,4 +1,4 @@
-"""Check calls between peers: their pieces, bounds, faults and deadlines."""
+"""Test calls between peers: chunks, limits, faults and deadlines."""
 
 import pytest
 import trio
@@ -121,7 +121,7 @@
     now = trio.current_time()
     with pytest.raises(PeerUnreachable):
         await net.hosts[A].call(B, Topic.CONFIG_FETCH, b"", Deadline(now + 20))
-    # The rest of the reply above still waits for its bytes.
+    # The rest of the reply above still waits for the byte budget.
     await net.hosts[A].call(
         B, Topic.CLAIM_BATCH, bytes(100_000), Deadline(now + 20.5)
     )
@@ -142,7 +142,8 @@
         B, Topic.CONFIG_FETCH, b"", Deadline(start + 60)
     )
     assert len(reply) == 400_000
-    # The budget spreads the reply over many heartbeats, which went through.
+    # The budget delays the reply for many heartbeat intervals; heartbeats were
+    # still sent.
     assert trio.current_time() - start > 10
     for host in net.hosts.values():
         assert closed(host, "unacknowledged") + closed(host, "silent") == 0
--- a/agatetack/peers/test_choice.py
+++ b/agatetack/peers/test_choice.py
@@ -1,4 +1,4 @@
-"""Check the graph of links at many sizes, and the filter of duplicates."""
+"""Test the graph of links for many fleet sizes and the duplicate filter."""
 
 import pytest
 
@@ -15,7 +15,7 @@
 
 
 def links_of(count: int, domains: int) -> dict[HostId, set[HostId]]:
-    """Return each host's links: whom it dials and who dials it."""
+    """Return each host's links, those it dials and those it accepts."""
     fleet = {
         HostId(f"gateway-{n}"): FailureDomain(f"domain-{n % domains}")
         for n in range(count)
@@ -29,7 +29,7 @@
 
 
 def reached(links, start, lost=frozenset()) -> set[HostId]:
-    """Return who can be reached over hosts that are not lost."""
+    """Return the hosts reachable over hosts that are not lost."""
     found, todo = {start}, [start]
     while todo:
         new = links[todo.pop()] - found - lost
--- a/agatetack/peers/test_faults.py
+++ b/agatetack/peers/test_faults.py
@@ -1,4 +1,4 @@
-"""Check links, views and messages under faults, alone and in pairs."""
+"""Test links, membership and messages under single and paired faults."""
 
 import dataclasses
 import itertools
@@ -15,7 +15,7 @@
 
 A, B, C = HostId("a"), HostId("b"), HostId("c")
 SETTLE = 6
-"""Seconds after which links stand again, or are known to be gone."""
+"""Seconds until links are re-established or considered lost."""
 
 
 async def three_hosts(nursery, **peers) -> PeerNet:
@@ -32,16 +32,16 @@
 
 
 async def no_fault(net: PeerNet) -> None:
-    """Leave everything as it is."""
+    """Cause no fault."""
 
 
 async def silent_link(net: PeerNet) -> None:
-    """Lose all on the open connection between a and b."""
+    """Lose all bytes on the open connection between a and b."""
     net.silence(A, B)
 
 
 async def cut_for_a_time(net: PeerNet) -> None:
-    """Cut a and b from each other, then heal."""
+    """Partition a and b from each other, then heal the partition."""
     net.cut(A, B)
     await trio.sleep(SETTLE)
     assert B not in peers_of(net, A)
@@ -50,7 +50,7 @@
 
 
 async def one_way(net: PeerNet) -> None:
-    """Lose what a sends to b for a time, while b reaches a."""
+    """Lose what a sends to b for a time, but not what b sends to a."""
     net.lossy.add((A, B))
     await trio.sleep(SETTLE)
     assert B not in peers_of(net, A)
@@ -59,7 +59,7 @@
 
 
 async def paused_host(net: PeerNet) -> None:
-    """Let b do nothing for a time; then all it sent and missed arrives."""
+    """Suspend b for a time; then all delayed bytes arrive both ways."""
     both_ways = itertools.product((A, C), (B,))
     net.held |= {d for x, y in both_ways for d in ((x, y), (y, x))}
     await trio.sleep(SETTLE)
@@ -68,7 +68,7 @@
 
 
 async def restart(net: PeerNet) -> None:
-    """Replace b by a later incarnation of the same name."""
+    """Restart b with the same id and a higher incarnation."""
     before = net.hosts[B].incarnation
     net.stop(B)
     await net.start(B)
@@ -78,7 +78,7 @@
 
 
 async def list_lost(net: PeerNet) -> None:
-    """Drop c from the list while it lives."""
+    """Remove c from the list while it runs."""
     net.unlist(C)
 
 
@@ -116,7 +116,7 @@
 
 
 def passed_on(net: PeerNet) -> int:
-    """Return how many messages of others all hosts have passed on."""
+    """Return how many messages of others all hosts have forwarded."""
     counted = [host.counters.relayed.values for host in net.hosts.values()]
     return sum(sum(values.values()) for values in counted)
 
@@ -161,7 +161,7 @@
         assert origins(net, name, Topic.CONFIG_RECORDS) == [A]
         direct = [] if name == B else [A]
         assert origins(net, name, Topic.LOAD_SAMPLES) == direct
-    # To hear of a host is no proof that it can be reached.
+    # A forwarded message doesn't make its origin a live peer.
     assert B not in peers_of(net, A)
     assert net.hosts[A].fleet_size() == len(net.hosts)
     nursery.cancel_scope.cancel()
@@ -188,14 +188,15 @@
     for host in (A, C):
         [seen] = [p for p in net.hosts[host].live_peers() if p.id == B]
         assert seen.incarnation == new.incarnation
-    # The past one, which still runs, sends on and dials again.
+    # The old incarnation still runs, publishes and dials again.
     old.publish(Topic.TARGET_SIGNS, b"from the past")
     await trio.sleep(SETTLE)
     assert old.live_peers() == []
     assert closed(net.hosts[A], "old-incarnation") > 0
     assert origins(net, A, Topic.TARGET_SIGNS) == []
     assert net.hosts[A].fleet_size() == 3
-    # A late word that the past one is leaving says nothing of the new one.
+    # A late announcement that the old incarnation is leaving doesn't affect the
+    # new one.
     old.announce_leaving()
     late = net.hosts[A].announcements.member_of(old.identity.member())
     assert not net.hosts[A].members.note(late)
@@ -210,7 +211,7 @@
         net.cut(A, B)
         await trio.sleep(SETTLE)
     if fault == "budget":
-        # Between two heartbeats, and with too little for a message.
+        # Between two heartbeats and with too few tokens for a message.
         await trio.sleep(0.2)
         net.hosts[B].budget.tokens *= 0.3
     net.hosts[B].announce_leaving()
@@ -235,7 +236,8 @@
     net.cut(A, B)
     net.cut(A, C)
     await trio.sleep(SETTLE)
-    # Both may live on and spend their shares for as long as they may be live.
+    # Both may still be running and use their shares of budgets, so they count
+    # until they are considered dead.
     assert net.hosts[A].fleet_size() == 3
     await trio.sleep(60)
     assert net.hosts[A].fleet_size() == 1
@@ -247,7 +249,7 @@
 async def test_link_with_a_past_incarnation_is_closed(nursery, autojump_clock):
     net = await three_hosts(nursery)
     assert B in peers_of(net, A)
-    # The next incarnation can't reach a, which hears of it through c.
+    # The new incarnation can't reach a, which learns of it through c.
     net.refused |= {(A, B), (B, A)}
     await net.start(B)
     await trio.sleep(SETTLE)
@@ -307,11 +309,11 @@
     hosts = list(net.hosts.values())
     await trio.sleep(0.6)
     assert sum(dropped(h, "publish-over-budget") for h in hosts) > 0
-    # All announced themselves just now; the most part is left for others.
+    # All hosts have just announced themselves, and most of the budget is left.
     assert all(h.budget.tokens > rate * 0.75 for h in hosts)
     await trio.sleep(3)
     hosts[0].publish(Topic.CONFIG_RECORDS, b"x")
-    # Leaving is told even while the announcements' share is used up.
+    # Leaving is announced even if the announcements' share is used up.
     for host in hosts:
         host.budget.announcements.rate = 0
         host.budget.announcements.tokens = 0
@@ -338,7 +340,7 @@
     assert dropped(host, "publish-over-budget") > 0
     assert closed(host, "silent") + closed(host, "unacknowledged") == 0
     assert peers_of(net, A) == {B, C}
-    # Neither of the others got all of what the budget allowed.
+    # The budget was shared about equally by the others.
     got = [len(net.heard[name]) for name in (B, C)]
     assert min(got) > max(got) * 0.7
     nursery.cancel_scope.cancel()
--- a/agatetack/peers/test_groups.py
+++ b/agatetack/peers/test_groups.py
@@ -1,7 +1,7 @@
-"""Test how a large fleet is split, and what a group's hosts then have to do.
+"""Test how a large fleet is split into groups and targets are assigned.
 
-The pattern: hundreds of hosts in a few failure domains, each with one or two
-requests a second, before some hundred targets of two or three slots.
+The scenario is hundreds of hosts in a few failure domains, each with one or two
+requests a second, and about a hundred targets of two or three slots.
 """
 
 import collections
@@ -47,7 +47,8 @@
         assert group.failure_domain == domain
         counts[group] += 1
     assert counts.keys() == groups.hosts.keys()
-    # An uneven share sends work to other groups, at the price of a connection.
+    # With uneven shares, hosts send requests to targets of other groups, which
+    # costs connections.
     assert max(counts.values()) <= 2.5 * 241 / len(groups.hosts)
 
 
@@ -80,7 +81,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Placed:
-    """A target as the groups share it out."""
+    """A target to assign to a group."""
 
     id: TargetId
     failure_domain: FailureDomain
@@ -98,7 +99,8 @@
     ]
 
 
-# 96 hosts and 46, 30, 52 and four targets are a fleet whose work shifted.
+# 96 hosts with 46, 30, 52 and four targets are a fleet whose load shifted
+# between services.
 @pytest.mark.parametrize(
     ("hosts", "domains", "counts"),
     [(96, 3, (46, 30, 52, 4)), (116, 4, (58, 32, 16)), (312, 5, (109, 12))],
--- a/agatetack/peers/test_handshake.py
+++ b/agatetack/peers/test_handshake.py
@@ -1,4 +1,4 @@
-"""Check that no bytes on one connection harm the host or other links."""
+"""Test that no bytes on one connection harm the host or other links."""
 
 import contextlib
 import dataclasses
@@ -45,7 +45,7 @@
 
 
 class RawPeer:
-    """One end of a connection with a host, written byte by byte."""
+    """A peer that sends arbitrary bytes to a host."""
 
     def __init__(self, host, nursery, ip: str = LOOPBACK):
         """Open a connection to `host` that comes from `ip`."""
@@ -66,7 +66,7 @@
 
 @dataclasses.dataclass
 class Refused:
-    """What is sent on a connection, and why it must be closed."""
+    """Bytes sent on a connection and the expected close reason."""
 
     name: str
     reason: str
@@ -133,7 +133,7 @@
     assert closed(host, case.reason) == 1
     assert RAW not in host.connector.links
     assert host.connector.handshakes == 0
-    # The link with the other host never was at risk.
+    # The link with the other host is unaffected.
     assert host.connector.links == {GOOD: link}
     host.publish(Topic.TARGET_SIGNS, b"x")
     await trio.sleep(1)
--- a/agatetack/peers/test_mesh.py
+++ b/agatetack/peers/test_mesh.py
@@ -1,4 +1,4 @@
-"""Check what exchanges of a whole fleet tell each other."""
+"""Test the exchange of messages among the hosts of a fleet."""
 
 import pytest
 import trio
@@ -22,11 +22,13 @@
 )
 
 FAST = {"heartbeat_seconds": 0.05, "timeout_seconds": 0.3}
-"""Timings that let a test see links fail soon."""
+"""Timings with which links fail quickly."""
 
 PATIENT = {"heartbeat_seconds": 1.0, "timeout_seconds": 30.0}
-"""Timings that keep a link while the process stands still; a message is lost
-with a link that is taken for silent."""
+"""Timings that keep links open while the test process is stalled.
+
+Otherwise a link would be closed as silent and lose its messages.
+"""
 
 
 async def wait_until(condition, seconds=5.0):
@@ -37,7 +39,7 @@
 
 
 def pem_files(directory, authority: trustme.CA) -> dict[str, str]:
-    """Write a host's files and return their paths."""
+    """Write a host's TLS files and return their paths."""
     issued = authority.issue_cert("fleet.example")
     blobs = {
         "certificate": issued.cert_chain_pems[0],
@@ -167,7 +169,7 @@
 
 
 def subscribe_all(fleet, topic=Topic.IN_FLIGHT):
-    """Return the payloads of a topic that each host takes from now on."""
+    """Return the payloads of a topic that each host will receive."""
     taken = {host: [] for host in fleet}
     for host, exchange in fleet.items():
         exchange.subscribe(
@@ -232,9 +234,9 @@
     taken = []
     two.subscribe(Topic.LOAD_SAMPLES, lambda _, payload: taken.append(payload))
     link = next(iter(one.connector.links.values()))
-    # Behind a control frame that still waits, nothing is sent at once.
+    # While a control frame is queued, messages aren't sent at once.
     await wait_until(lambda: not link.control and not link.sending)
-    # More than the kernel's buffers hold, as the other end reads nothing yet.
+    # More than the kernel buffers hold, as the other end isn't reading yet.
     sent = [bytes([number % 256]) * 50_000 for number in range(120)]
     for payload in sent:
         one.publish(Topic.LOAD_SAMPLES, payload)
@@ -243,7 +245,8 @@
     await wait_until(lambda: not link.published and not link.unsent)
     one.publish(Topic.LOAD_SAMPLES, b"last")
     await wait_until(lambda: taken and taken[-1] == b"last")
-    # What found no room was left out; nothing came in pieces or out of order.
+    # Messages over the queue limit were dropped; the others arrived complete
+    # and in order.
     kept = [payload for payload in sent if payload in set(taken)]
     assert taken == [*kept, b"last"]
     assert len(kept) > 50
@@ -338,7 +341,8 @@
         return connector.bounded and connector.wanted <= connector.links.keys()
 
     await wait_until(lambda: all(settled(e) for e in fleet))
-    # Links that were given up have ended, and no host lost another by that.
+    # Unneeded links were closed, and no host marked another one as lost because
+    # of that.
     await wait_until(
         lambda: sum(len(e.connector.links) for e in fleet) < 0.75 * links
     )
--- a/agatetack/peers/transport.py
+++ b/agatetack/peers/transport.py
@@ -1,4 +1,4 @@
-"""Open and accept the connections of links, with or without TLS."""
+"""Open and accept connections with peers, with or without TLS."""
 
 import abc
 import socket
@@ -12,30 +12,30 @@
 
 
 class Transport(abc.ABC):
-    """How bytes pass between two hosts."""
+    """Opens and accepts connections between two hosts."""
 
     @abc.abstractmethod
     async def open(self, ip: str, port: int) -> trio.abc.Stream:
         """Return a connection to a peer.
 
         Raises:
-            OSError: There is none.
+            OSError: The connection failed.
         """
 
     @abc.abstractmethod
     def accept(self, stream: trio.abc.Stream) -> trio.abc.Stream:
-        """Return what to use in place of an accepted connection."""
+        """Return the stream to use for an accepted connection."""
 
     @abc.abstractmethod
     async def run(self) -> None:
-        """Do what the transport needs until cancelled."""
+        """Run the background tasks of the transport until cancelled."""
 
 
 class PlainTransport(Transport):
-    """TCP, for networks of the operators' own.
+    """TCP without TLS, for private networks.
 
-    Links use plain streams: a host of 18 takes some 550 messages a second, and
-    trio's own streams ask the socket for each once more than is needed.
+    Links use `PlainStream`: a host in a fleet of 18 receives about 550 messages
+    a second, and trio's streams make one unnecessary socket call for each.
     """
 
     async def open(self, ip: str, port: int) -> trio.abc.Stream:
@@ -43,7 +43,7 @@
         return await open_plain_stream(ip, port)
 
     def accept(self, stream: trio.abc.Stream) -> trio.abc.Stream:
-        """Return a plain stream on the connection's socket."""
+        """Return a `PlainStream` on the connection's socket."""
         if not isinstance(stream, trio.SocketStream):
             return stream
         sock = socket.socket(fileno=stream.socket.detach())
@@ -55,19 +55,20 @@
 
 
 class TlsTransport(Transport):
-    """TLS on which both hosts show a certificate of the fleet's authority."""
+    """Mutual TLS with certificates of the fleet's certificate authority."""
 
     def __init__(self, settings: PeersSettings, metrics: Metrics):
         """Load the files of `settings.tls`.
 
         Raises:
-            TlsFilesError: They can't be used, or there is no authority.
+            TlsFilesError: The files are unusable, or there is no certificate
+                authority.
         """
         self.client = ClientTls(settings.tls, "peers_dial", metrics)
         self.server = ServerTls(settings.tls, "peers", metrics)
 
     async def open(self, ip: str, port: int) -> trio.abc.Stream:
-        """Return a connection; its TLS handshake is done with the hello."""
+        """Return a connection; TLS is negotiated when the hello is sent."""
         return await self.client.open_stream(ip, port)
 
     def accept(self, stream: trio.abc.Stream) -> trio.abc.Stream:
@@ -75,14 +76,14 @@
         return self.server.accept_stream(stream)
 
     async def run(self) -> None:
-        """Load the files again whenever they change."""
+        """Reload the files whenever they change."""
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self.client.run)
             nursery.start_soon(self.server.run)
 
 
 def make_transport(settings: PeersSettings, metrics: Metrics) -> Transport:
-    """Return the transport that `settings` ask for."""
+    """Return the transport that `settings` require."""
     if settings.tls is None:
         return PlainTransport()
     return TlsTransport(settings, metrics)
