--- a/agatetack/gateway_core.py
+++ b/agatetack/gateway_core.py
@@ -127,7 +127,7 @@
         settings, metrics = self.settings, self.metrics
         self.peers = PeerExchange(settings, directory, metrics, self.clock)
         self.registry = TargetRegistry(settings, metrics)
-        self.registry.listing_watchers.append(self.peers.note_targets)
+        self.registry.listing_watchers.append(self.peers.set_targets)
         seed = self.seed
         self.start_share = StartShare(
             self.registry, self.peers, lambda: list(self.peers.members.listed)
--- a/agatetack/measure/test_rounds.py
+++ b/agatetack/measure/test_rounds.py
@@ -215,7 +215,7 @@
         return self.groups.hosts[self.group]
 
     def shares_target(self, target, domain):
-        return self.groups.of_target(target, domain) == self.group
+        return self.groups.group_of_target(target, domain) == self.group
 
 
 @pytest.mark.parametrize("hosts", [120, 400])
--- a/agatetack/peers/connector.py
+++ b/agatetack/peers/connector.py
@@ -122,11 +122,11 @@
         self.targets: Sequence[PlacedTarget] = ()
         self.changed = trio.Event()
 
-    def note_targets(self, targets: Sequence[PlacedTarget]) -> None:
+    def set_targets(self, targets: Sequence[PlacedTarget]) -> None:
         """Replace the targets and divide them among the groups."""
         self.targets = targets
         if self.groups is not None:
-            self.groups.deal_out(targets)
+            self.groups.assign_targets(targets)
 
     def view_changed(self) -> None:
         """Schedule a new choice of peers."""
@@ -180,7 +180,7 @@
             return
         if self.groups is None or self.groups.domains != domains:
             self.groups = Groups(domains, self.settings.max_peers)
-            self.groups.deal_out(self.targets)
+            self.groups.assign_targets(self.targets)
         self.group = self.groups.group_of[self.own]
         self.leaders = self.groups.leaders(self.group, self.lost)
 
--- a/agatetack/peers/groups.py
+++ b/agatetack/peers/groups.py
@@ -21,16 +21,16 @@
 
 from agatetack.ids import FailureDomain, HostId, ServiceId, TargetId
 
-GROUP_SHARE = 0.5
+GROUP_HOSTS_RATIO = 0.5
 """Maximum mean number of hosts in a group, as a share of `peers.max_peers`.
 
 The rest of a leader's links are links with other groups.
 """
 
-PLACES_RANK = "share"
+ASSIGNMENT_HASH_PREFIX = "share"
 """Hash prefix of the order in which targets are assigned to groups."""
 
-LEADERS = 2
+LEADERS_PER_GROUP = 2
 """Number of leaders of a group; one of them may fail unnoticed."""
 
 
@@ -65,12 +65,12 @@
     """The groups of a fleet.
 
     Attributes:
-        most: The maximum mean number of hosts in a group.
+        max_mean_hosts: The maximum mean number of hosts in a group.
         hosts: The hosts of each group, its leaders first.
         group_of: The group of each host.
         by_domain: The groups of each failure domain.
         domains: The failure domain of each host.
-        found: The group of each target that was assigned or looked up.
+        target_groups: The group of each target that was assigned or looked up.
     """
 
     def __init__(self, domains: Mapping[HostId, FailureDomain], max_peers: int):
@@ -80,16 +80,16 @@
             domains: The failure domain of each host.
             max_peers: The intended maximum number of links of a host.
         """
-        self.most = max(1, int(max_peers * GROUP_SHARE))
+        self.max_mean_hosts = max(1, int(max_peers * GROUP_HOSTS_RATIO))
         self.hosts: dict[GroupId, list[HostId]] = {}
         self.group_of: dict[HostId, GroupId] = {}
         self.by_domain: dict[FailureDomain, list[GroupId]] = {}
         self.domains = dict(domains)
-        self.found: dict[TargetId, GroupId | None] = {}
-        near: dict[FailureDomain, list[HostId]] = defaultdict(list)
+        self.target_groups: dict[TargetId, GroupId | None] = {}
+        hosts_by_domain: dict[FailureDomain, list[HostId]] = defaultdict(list)
         for host, domain in domains.items():
-            near[domain].append(host)
-        for domain, hosts in near.items():
+            hosts_by_domain[domain].append(host)
+        for domain, hosts in hosts_by_domain.items():
             self._split(domain, hosts)
 
     def _split(self, domain: FailureDomain, hosts: Sequence[HostId]) -> None:
@@ -100,19 +100,21 @@
         two.
         """
         count = 1
-        while len(hosts) > count * self.most:
+        while len(hosts) > count * self.max_mean_hosts:
             count *= 2
-        found: dict[GroupId, list[HostId]] = defaultdict(list)
+        members_by_group: dict[GroupId, list[HostId]] = defaultdict(list)
         for host in hosts:
             group = GroupId(domain, _rank("group", host) % count)
-            found[group].append(host)
+            members_by_group[group].append(host)
             self.group_of[host] = group
-        for group, members in found.items():
+        for group, members in members_by_group.items():
             members.sort(key=lambda host: _rank("lead", host))
             self.hosts[group] = members
-        self.by_domain[domain] = sorted(found, key=lambda group: group.number)
+        self.by_domain[domain] = sorted(
+            members_by_group, key=lambda group: group.number
+        )
 
-    def deal_out(self, targets: Iterable[PlacedTarget]) -> None:
+    def assign_targets(self, targets: Iterable[PlacedTarget]) -> None:
         """Assign each group its part of the targets of each service.
 
         Each target is assigned to the group with the highest hash among those
@@ -121,44 +123,53 @@
         of the requests go to targets of other groups, each over a new
         connection.
         """
-        places: dict[tuple[FailureDomain, ServiceId], list[TargetId]]
-        places = defaultdict(list)
+        targets_by_place: dict[tuple[FailureDomain, ServiceId], list[TargetId]]
+        targets_by_place = defaultdict(list)
         for target in targets:
             place = (target.failure_domain, target.service)
-            places[place].append(target.id)
-        self.found = {}
-        for (domain, service), names in places.items():
-            self._deal_out_one(domain, service, names)
-
-    def _deal_out_one(
-        self, domain: FailureDomain, service: ServiceId, names: list[TargetId]
+            targets_by_place[place].append(target.id)
+        self.target_groups = {}
+        for (domain, service), target_ids in targets_by_place.items():
+            self._assign_service(domain, service, target_ids)
+
+    def _assign_service(
+        self,
+        domain: FailureDomain,
+        service: ServiceId,
+        target_ids: list[TargetId],
     ) -> None:
         """Assign the targets of one service in one failure domain."""
-        room = self._parts(self._near_groups(domain), service, len(names))
-        for name in sorted(names, key=lambda each: _rank(PLACES_RANK, each)):
-            group = self._preferred([g for g in room if room[g]], name)
+        capacities = self._divide(
+            self._groups_for(domain), service, len(target_ids)
+        )
+        for target_id in sorted(
+            target_ids, key=lambda each: _rank(ASSIGNMENT_HASH_PREFIX, each)
+        ):
+            group = self._highest_ranked(
+                [g for g in capacities if capacities[g]], target_id
+            )
             if group is not None:
-                room[group] -= 1
-            self.found[name] = group
+                capacities[group] -= 1
+            self.target_groups[target_id] = group
 
-    def _parts(
+    def _divide(
         self, groups: Sequence[GroupId], service: ServiceId, count: int
     ) -> dict[GroupId, int]:
         """Divide `count` targets by the number of hosts in each group."""
         hosts = sum(len(self.hosts[group]) for group in groups)
         exact = {g: count * len(self.hosts[g]) / hosts for g in groups}
         parts = {group: int(part) for group, part in exact.items()}
-        left = count - sum(parts.values())
+        rest = count - sum(parts.values())
         # The groups with the largest rounding loss get one of the rest each.
-        short = sorted(
+        by_shortfall = sorted(
             groups,
             key=lambda g: (parts[g] - exact[g], _rank(service, str(g.number))),
         )
-        for group in short[:left]:
+        for group in by_shortfall[:rest]:
             parts[group] += 1
         return parts
 
-    def of_target(
+    def group_of_target(
         self, target: TargetId, domain: FailureDomain
     ) -> GroupId | None:
         """Return the group of a target; None if there are no hosts.
@@ -168,20 +179,20 @@
             domain: Its failure domain. If it has no hosts, the target is
                 assigned to a group of any other one.
         """
-        if target not in self.found:
-            self.found[target] = self._find_group(target, domain)
-        return self.found[target]
+        if target not in self.target_groups:
+            self.target_groups[target] = self._find_group(target, domain)
+        return self.target_groups[target]
 
     def _find_group(
         self, target: TargetId, domain: FailureDomain
     ) -> GroupId | None:
-        return self._preferred(self._near_groups(domain), target)
+        return self._highest_ranked(self._groups_for(domain), target)
 
-    def _near_groups(self, domain: FailureDomain) -> Sequence[GroupId]:
+    def _groups_for(self, domain: FailureDomain) -> Sequence[GroupId]:
         """Return the groups of a failure domain, or all groups if none."""
         return self.by_domain.get(domain) or list(self.hosts)
 
-    def _preferred(
+    def _highest_ranked(
         self, groups: Sequence[GroupId], target: TargetId
     ) -> GroupId | None:
         return max(
@@ -199,14 +210,14 @@
             group: The group.
             lost: Hosts that are unreachable now.
         """
-        able = [host for host in self.hosts[group] if host not in lost]
-        return able[:LEADERS]
+        reachable = [host for host in self.hosts[group] if host not in lost]
+        return reachable[:LEADERS_PER_GROUP]
 
     def first_leaders(self, lost: Collection[HostId] = ()) -> list[HostId]:
         """Return the first leader of each group."""
-        found = (self.leaders(group, lost)[:1] for group in self.hosts)
-        return [host for leaders in found for host in leaders]
+        firsts = (self.leaders(group, lost)[:1] for group in self.hosts)
+        return [host for leaders in firsts for host in leaders]
 
 
-def _rank(what: str, name: str) -> int:
-    return xxhash.xxh3_64_intdigest(f"{what}|{name}".encode())
+def _rank(prefix: str, name: str) -> int:
+    return xxhash.xxh3_64_intdigest(f"{prefix}|{name}".encode())
--- a/agatetack/peers/mesh.py
+++ b/agatetack/peers/mesh.py
@@ -212,9 +212,9 @@
         """Return whether `target` is assigned to this host's group."""
         return self.reach.shares_target(target, domain)
 
-    def note_targets(self, targets: Sequence[PlacedTarget]) -> None:
+    def set_targets(self, targets: Sequence[PlacedTarget]) -> None:
         """Set all targets, which are divided among the groups."""
-        self.connector.note_targets(targets)
+        self.connector.set_targets(targets)
 
     def fleet_size(self) -> int:
         """Return the larger of the counts of listed and live hosts."""
--- a/agatetack/peers/reach.py
+++ b/agatetack/peers/reach.py
@@ -64,7 +64,7 @@
         groups = self.connector.groups
         if groups is None:
             return True
-        return groups.of_target(target, domain) == self.connector.group
+        return groups.group_of_target(target, domain) == self.connector.group
 
     def near_links(self) -> list[Link]:
         """Return the links with the hosts of `Scope.NEAR`."""
--- a/agatetack/peers/test_groups.py
+++ b/agatetack/peers/test_groups.py
@@ -11,7 +11,7 @@
 
 from agatetack.ids import FailureDomain, HostId, ServiceId, TargetId
 from agatetack.peers.choice import choose_peers
-from agatetack.peers.groups import LEADERS, Groups
+from agatetack.peers.groups import LEADERS_PER_GROUP, Groups
 
 MAX_PEERS = 48
 
@@ -43,7 +43,7 @@
     counts = collections.Counter()
     for n in range(241):
         domain = FailureDomain(f"domain-{n % domains}")
-        group = groups.of_target(TargetId(f"i-{n}"), domain)
+        group = groups.group_of_target(TargetId(f"i-{n}"), domain)
         assert group.failure_domain == domain
         counts[group] += 1
     assert counts.keys() == groups.hosts.keys()
@@ -55,11 +55,11 @@
 def test_targets_without_hosts_in_their_domain_have_a_group():
     groups = Groups(fleet_of(100, 4), MAX_PEERS)
     found = {
-        groups.of_target(TargetId(f"i-{n}"), FailureDomain("elsewhere"))
+        groups.group_of_target(TargetId(f"i-{n}"), FailureDomain("elsewhere"))
         for n in range(100)
     }
     assert len(found) > 1
-    assert Groups({}, MAX_PEERS).of_target(TargetId("i"), "d") is None
+    assert Groups({}, MAX_PEERS).group_of_target(TargetId("i"), "d") is None
 
 
 @pytest.mark.parametrize("lost", [0, 1, 2])
@@ -69,7 +69,7 @@
     for group, hosts in groups.hosts.items():
         gone = set(hosts[:lost])
         leaders = groups.leaders(group, gone)
-        assert len(leaders) == LEADERS
+        assert len(leaders) == LEADERS_PER_GROUP
         assert not gone & set(leaders)
 
 
@@ -112,11 +112,11 @@
         for number, count in enumerate(counts)
         for target in placed(count, domains, f"svc{number}")
     ]
-    groups.deal_out(targets)
+    groups.assign_targets(targets)
     found = collections.Counter()
     there = collections.Counter()
     for target in targets:
-        group = groups.of_target(target.id, target.failure_domain)
+        group = groups.group_of_target(target.id, target.failure_domain)
         assert group.failure_domain == target.failure_domain
         found[group, target.service] += 1
         there[target.failure_domain, target.service] += 1
@@ -132,15 +132,17 @@
 def test_targets_that_come_or_go_move_few_others(gone):
     groups = Groups(fleet_of(96, 3), MAX_PEERS)
     targets = placed(46, 3)
-    groups.deal_out(targets)
-    before = dict(groups.found)
-    groups.deal_out(targets[gone:])
-    moved = sum(before[name] != group for name, group in groups.found.items())
+    groups.assign_targets(targets)
+    before = dict(groups.target_groups)
+    groups.assign_targets(targets[gone:])
+    moved = sum(
+        before[name] != group for name, group in groups.target_groups.items()
+    )
     assert moved <= 2 * gone
 
 
 def test_targets_that_were_not_dealt_out_have_a_group_too():
     groups = Groups(fleet_of(96, 3), MAX_PEERS)
-    groups.deal_out(placed(46, 3))
-    assert groups.of_target(TargetId("new"), FailureDomain("domain-1"))
-    Groups({}, MAX_PEERS).deal_out(placed(3, 1))
+    groups.assign_targets(placed(46, 3))
+    assert groups.group_of_target(TargetId("new"), FailureDomain("domain-1"))
+    Groups({}, MAX_PEERS).assign_targets(placed(3, 1))
