--- a/agatetack/peers/counters.py
+++ b/agatetack/peers/counters.py
@@ -50,7 +50,7 @@
         """Count a call to a peer by its result."""
         self.calls.inc({"result": result})
 
-    def passed_on(self, count: int) -> None:
+    def forwarded(self, count: int) -> None:
         """Count forwarded messages of other hosts."""
         self.relayed.add({}, count)
 
--- a/agatetack/peers/mesh.py
+++ b/agatetack/peers/mesh.py
@@ -164,7 +164,7 @@
         peers = self.live_peers()
         if not self.bounded:
             return peers
-        return [peer for peer in peers if self.reach.is_of_group(peer.id)]
+        return [peer for peer in peers if self.reach.is_in_group(peer.id)]
 
     def known_hosts(self) -> Sequence[Peer]:
         """Return all other hosts that are considered live.
@@ -309,22 +309,24 @@
         if publish.topic == MEMBER_TOPIC:
             self._take_member(link, publish)
             return
-        self._pass_on(link, publish)
+        self._forward(link, publish)
         self._deliver(publish)
 
-    def _pass_on(
+    def _forward(
         self, link: Link, publish: ttypes.Publish, take: Take | None = None
     ) -> None:
-        if self.reach.is_for_others(link, publish):
-            targets = self.reach.near_links()
+        if self.reach.forwards_to_near(link, publish):
+            links = self.reach.near_links()
         elif publish.flood and not self.is_leader:
             # The leaders of the group forward it.
-            targets = []
+            links = []
         else:
-            targets = self.relay.targets(publish, link, self.connector.links)
-        if targets:
-            self.counters.passed_on(len(targets))
-            self._send_publish(publish, targets, take)
+            links = self.relay.links_to_forward(
+                publish, link, self.connector.links
+            )
+        if links:
+            self.counters.forwarded(len(links))
+            self._send_publish(publish, links, take)
 
     def _deliver(self, publish: ttypes.Publish) -> None:
         for handler in self.handlers.get(publish.topic, ()):
@@ -350,7 +352,7 @@
         # leaving host has no next announcement.
         leaving = bool(said.leaving)
         take = None if leaving else self.budget.take_announcement
-        self._pass_on(link, publish, take)
+        self._forward(link, publish, take)
 
     def _note_member(self, said: ttypes.Member | ttypes.Hello) -> None:
         member = self.announcements.member_of(said)
--- a/agatetack/peers/reach.py
+++ b/agatetack/peers/reach.py
@@ -8,7 +8,7 @@
 from agatetack.peers.connector import Connector
 from agatetack.peers.exchange import Scope
 from agatetack.peers.link import Link
-from agatetack.peers.relay import DOMAIN_TOPICS, GATHERED_TOPICS
+from agatetack.peers.relay import COMBINED_TOPICS, ONCE_PER_DOMAIN_TOPICS
 
 
 class Reach:
@@ -52,7 +52,7 @@
         groups = self.connector.groups
         return () if groups is None else groups.hosts[self.connector.group]
 
-    def is_of_group(self, host: HostId) -> bool:
+    def is_in_group(self, host: HostId) -> bool:
         """Return whether a host is in the own group."""
         groups = self.connector.groups
         if groups is None:
@@ -75,10 +75,10 @@
         """Return the links over which to send a message to `scope`."""
         links = list(self.connector.links.values())
         if scope is Scope.DOMAIN:
-            return [link for link in links if self._is_of_domain(link)]
+            return [link for link in links if self._is_in_domain(link)]
         if scope is Scope.ELSEWHERE:
-            return [link for link in links if not self._is_of_domain(link)]
-        if topic not in DOMAIN_TOPICS:
+            return [link for link in links if not self._is_in_domain(link)]
+        if topic not in ONCE_PER_DOMAIN_TOPICS:
             return links
         near = self.near_links()
         if scope is Scope.NEAR and self.connector.bounded:
@@ -89,27 +89,30 @@
             return far if self.connector.bounded else []
         return [*near, *far]
 
-    def is_for_others(self, link: Link, publish: ttypes.Publish) -> bool:
+    def forwards_to_near(self, link: Link, publish: ttypes.Publish) -> bool:
         """Return whether this host forwards a message to the near hosts.
 
         In a small fleet, the origin in another failure domain chose this host
         to forward it. In a large one, the first leader of another group sent it
         to this group's first leader.
         """
-        if publish.topic not in DOMAIN_TOPICS or publish.origin != link.id:
+        if (
+            publish.topic not in ONCE_PER_DOMAIN_TOPICS
+            or publish.origin != link.id
+        ):
             return False
         if self.connector.bounded and (
-            publish.topic in GATHERED_TOPICS or not self.is_first_leader
+            publish.topic in COMBINED_TOPICS or not self.is_first_leader
         ):
             return False
         return not self._is_near(link)
 
     def _is_near(self, link: Link) -> bool:
         if self.connector.bounded:
-            return self.is_of_group(link.id)
-        return self._is_of_domain(link)
+            return self.is_in_group(link.id)
+        return self._is_in_domain(link)
 
-    def _is_of_domain(self, link: Link) -> bool:
+    def _is_in_domain(self, link: Link) -> bool:
         return link.failure_domain == self.failure_domain
 
     def _far_links(self, links: Sequence[Link]) -> list[Link]:
@@ -117,9 +120,9 @@
         if self.connector.bounded:
             far = [link for link in links if not self._is_near(link)]
             return far if self.is_first_leader else []
-        return self._relays(links)
+        return self._one_link_per_domain(links)
 
-    def _relays(self, links: Sequence[Link]) -> list[Link]:
+    def _one_link_per_domain(self, links: Sequence[Link]) -> list[Link]:
         """Return the link with one host of each other failure domain."""
         found: dict[FailureDomain, Link] = {}
         for link in links:
--- a/agatetack/peers/relay.py
+++ b/agatetack/peers/relay.py
@@ -18,7 +18,7 @@
 MEMBER_TOPIC = 0
 """The topic of hosts' announcements; no other package reads it."""
 
-RELAYED_TOPICS = frozenset(
+FORWARDED_TOPICS = frozenset(
     {
         MEMBER_TOPIC,
         Topic.CONFIG_RECORDS.value,
@@ -34,7 +34,9 @@
 records that it lacks.
 """
 
-DOMAIN_TOPICS = frozenset({Topic.LOAD_SAMPLES.value, Topic.IN_FLIGHT.value})
+ONCE_PER_DOMAIN_TOPICS = frozenset(
+    {Topic.LOAD_SAMPLES.value, Topic.IN_FLIGHT.value}
+)
 """Topics that are sent only once to each other failure domain.
 
 One host there forwards the messages, because traffic between failure domains is
@@ -43,18 +45,18 @@
 considered dead; the targets' own load reports are used meanwhile.
 """
 
-GATHERED_TOPICS = frozenset({Topic.LOAD_SAMPLES.value})
+COMBINED_TOPICS = frozenset({Topic.LOAD_SAMPLES.value})
 """Topics that first leaders of groups don't forward message by message.
 
 Their handlers at the first leader of a group combine the messages of other
 groups and send them to the group in fewer messages.
 """
 
-RELAYS_FOR_CUT_LINK = 2
+FORWARDERS_PER_MISSING_LINK = 2
 """Number of hosts that forward messages between two hosts without a link."""
 
 
-WINDOW = 1024
+DUPLICATE_WINDOW_MESSAGES = 1024
 """Number of sequence numbers per origin that are checked for duplicates.
 
 A message this far behind its origin's newest one is dropped as a duplicate.
@@ -105,16 +107,18 @@
         self.origins.move_to_end(origin)
         if len(self.origins) > MAX_ORIGINS:
             self.origins.popitem(last=False)
-        return _mark(window, sequence)
+        return _record(window, sequence)
 
 
-def _mark(window: OriginWindow, sequence: int) -> Verdict:
+def _record(window: OriginWindow, sequence: int) -> Verdict:
     if sequence > window.highest:
-        shift = min(sequence - window.highest, WINDOW)
-        window.seen = (window.seen << shift) & ((1 << WINDOW) - 1)
+        shift = min(sequence - window.highest, DUPLICATE_WINDOW_MESSAGES)
+        window.seen = (window.seen << shift) & (
+            (1 << DUPLICATE_WINDOW_MESSAGES) - 1
+        )
         window.highest = sequence
     behind = window.highest - sequence
-    if behind >= WINDOW or window.seen >> behind & 1:
+    if behind >= DUPLICATE_WINDOW_MESSAGES or window.seen >> behind & 1:
         return Verdict.DUPLICATE
     window.seen |= 1 << behind
     return Verdict.NEW
@@ -152,7 +156,7 @@
             publish.origin, publish.incarnation, publish.sequence
         )
 
-    def targets(
+    def links_to_forward(
         self,
         publish: ttypes.Publish,
         source: Link,
@@ -165,7 +169,7 @@
             source: The link over which it was received.
             links: All links of this host.
         """
-        if publish.topic not in RELAYED_TOPICS:
+        if publish.topic not in FORWARDED_TOPICS:
             return []
         others = [
             link
@@ -182,19 +186,23 @@
             # One end may still have a link with an old incarnation, so it
             # suffices that either end misses the other.
             if (source.id in link.missing or link.id in source.missing)
-            and self._relays_between(source, link, links)
+            and self._forwards_between(source, link, links)
         ]
 
-    def _relays_between(
-        self, source: Link, target: Link, links: Mapping[HostId, Link]
+    def _forwards_between(
+        self, source: Link, destination: Link, links: Mapping[HostId, Link]
     ) -> bool:
         # Both ends send the hosts they miss to all their peers, so the hosts
         # with links to both agree on which of them forward messages.
-        cut = source.missing | target.missing | {source.id, target.id}
-        able = [host for host in (self.own, *links) if host not in cut]
-        pair = f"{source.id}>{target.id}"
-        able.sort(key=lambda host: pair_rank(host, pair))
-        return self.own in able[:RELAYS_FOR_CUT_LINK]
+        excluded = (
+            source.missing | destination.missing | {source.id, destination.id}
+        )
+        candidates = [
+            host for host in (self.own, *links) if host not in excluded
+        ]
+        pair = f"{source.id}>{destination.id}"
+        candidates.sort(key=lambda host: pair_rank(host, pair))
+        return self.own in candidates[:FORWARDERS_PER_MISSING_LINK]
 
 
 def without_origin(publish: ttypes.Publish) -> ttypes.Publish:
--- a/agatetack/peers/test_choice.py
+++ b/agatetack/peers/test_choice.py
@@ -5,8 +5,8 @@
 from agatetack.ids import FailureDomain, HostId
 from agatetack.peers.choice import choose_peers
 from agatetack.peers.relay import (
+    DUPLICATE_WINDOW_MESSAGES,
     MAX_ORIGINS,
-    WINDOW,
     DuplicateFilter,
     Verdict,
 )
@@ -77,8 +77,17 @@
         [(1, 1, NEW), (1, 1, DUPLICATE), (1, 2, NEW), (1, 1, DUPLICATE)],
         [(1, 5, NEW), (1, 3, NEW), (1, 4, NEW), (1, 3, DUPLICATE)],
         [(2, 1, NEW), (1, 9, OLD), (2, 1, DUPLICATE), (3, 1, NEW), (2, 5, OLD)],
-        [(1, 1, NEW), (1, WINDOW + 1, NEW), (1, 1, DUPLICATE), (1, 2, NEW)],
-        [(1, 2**62, NEW), (1, 2**62 - WINDOW, DUPLICATE), (1, -5, DUPLICATE)],
+        [
+            (1, 1, NEW),
+            (1, DUPLICATE_WINDOW_MESSAGES + 1, NEW),
+            (1, 1, DUPLICATE),
+            (1, 2, NEW),
+        ],
+        [
+            (1, 2**62, NEW),
+            (1, 2**62 - DUPLICATE_WINDOW_MESSAGES, DUPLICATE),
+            (1, -5, DUPLICATE),
+        ],
     ],
 )
 def test_duplicates(steps):
--- a/agatetack/peers/test_faults.py
+++ b/agatetack/peers/test_faults.py
@@ -9,7 +9,7 @@
 
 from agatetack.ids import HostId
 from agatetack.peers.exchange import Topic
-from agatetack.peers.relay import RELAYS_FOR_CUT_LINK
+from agatetack.peers.relay import FORWARDERS_PER_MISSING_LINK
 from agatetack.testing.peer_fleet import listed
 from agatetack.testing.peer_net import PeerNet, closed, dropped
 
@@ -115,7 +115,7 @@
     nursery.cancel_scope.cancel()
 
 
-def passed_on(net: PeerNet) -> int:
+def forwarded_messages(net: PeerNet) -> int:
     """Return how many messages of others all hosts have forwarded."""
     counted = [host.counters.relayed.values for host in net.hosts.values()]
     return sum(sum(values.values()) for values in counted)
@@ -151,12 +151,12 @@
         await net.start(name)
     net.cut(A, B)
     await trio.sleep(SETTLE)
-    before = passed_on(net)
+    before = forwarded_messages(net)
     for topic in (Topic.CONFIG_RECORDS, Topic.LOAD_SAMPLES):
         net.hosts[A].publish(topic, b"x")
     await trio.sleep(0.1)
-    relays = min(RELAYS_FOR_CUT_LINK, len(net.hosts) - 2)
-    assert passed_on(net) - before == relays
+    relays = min(FORWARDERS_PER_MISSING_LINK, len(net.hosts) - 2)
+    assert forwarded_messages(net) - before == relays
     for name in net.hosts.keys() - {A}:
         assert origins(net, name, Topic.CONFIG_RECORDS) == [A]
         direct = [] if name == B else [A]
