--- a/agatetack/peers/budget.py
+++ b/agatetack/peers/budget.py
@@ -48,7 +48,7 @@
         """Take `count` bytes for a control frame, if available."""
         return self._take(count, 0.0, now)
 
-    def take_piece(self, count: int, now: Deadline) -> bool:
+    def take_chunk(self, count: int, now: Deadline) -> bool:
         """Take `count` bytes for a chunk of a call or reply, if available."""
         return self._take(count, self.rate * CONTROL_SHARE, now)
 
@@ -66,8 +66,8 @@
         """Return the size of the largest message `take_publish` can grant."""
         return int(self.rate * PUBLISH_SHARE)
 
-    def piece_at(self, count: int, now: Deadline) -> Deadline:
-        """Return when `take_piece` can grant `count` bytes at the earliest."""
+    def chunk_available_at(self, count: int, now: Deadline) -> Deadline:
+        """Return when `take_chunk` can grant `count` bytes at the earliest."""
         self._refill(now)
         short = count + self.rate * CONTROL_SHARE - self.tokens
         return Deadline(now + max(0.0, short) / self.rate)
--- a/agatetack/peers/call_service.py
+++ b/agatetack/peers/call_service.py
@@ -6,8 +6,8 @@
 from agatetack.ids import Deadline, HostId
 from agatetack.logs import PartLog
 from agatetack.peers.calls import (
+    MAX_CHUNK_BYTES,
     MAX_INCOMING_CALLS,
-    PIECE_BYTES,
     call_frames,
     reply_frames,
 )
@@ -16,7 +16,7 @@
 from agatetack.peers.link import Link
 from agatetack.settings.model import PeersSettings
 
-PIECES_PER_SECOND = 4
+MIN_CHUNKS_PER_SECOND = 4
 """Minimum number of chunks that the byte budget allows in one second.
 
 A small byte budget makes chunks smaller for that.
@@ -31,7 +31,7 @@
     Attributes:
         servers: The handlers of peers' calls, by topic.
         nursery: Runs the handlers; set before the first call arrives.
-        piece_bytes: Payload bytes of one chunk of a call or reply.
+        chunk_bytes: Payload bytes of one chunk of a call or reply.
     """
 
     def __init__(self, settings: PeersSettings, counters: PeerCounters):
@@ -39,8 +39,8 @@
         self.counters = counters
         self.servers: dict[int, CallHandler] = {}
         self.nursery: trio.Nursery | None = None
-        share = settings.bytes_per_second // PIECES_PER_SECOND
-        self.piece_bytes = max(1, min(PIECE_BYTES, share))
+        share = settings.bytes_per_second // MIN_CHUNKS_PER_SECOND
+        self.chunk_bytes = max(1, min(MAX_CHUNK_BYTES, share))
 
     async def call(
         self, link: Link, topic: Topic, payload: bytes, deadline: Deadline
@@ -52,14 +52,14 @@
                 before `deadline`.
         """
         number, pending = link.calls.open()
-        outgoing = call_frames(number, topic.value, payload, self.piece_bytes)
-        link.send_outgoing(outgoing)
+        message = call_frames(number, topic.value, payload, self.chunk_bytes)
+        link.queue_message(message)
         try:
             with trio.move_on_at(deadline):
                 await pending.done.wait()
         finally:
             link.calls.forget(number)
-            link.withdraw(outgoing)
+            link.cancel_message(message)
         if pending.reply is None:
             in_time = pending.done.is_set()
             self.counters.called("failed" if in_time else "timeout")
@@ -105,8 +105,8 @@
     def _reply(
         self, link: Link, call: ttypes.Call, reply: bytes | None
     ) -> None:
-        frames = reply_frames(call.id, call.topic, reply, self.piece_bytes)
-        link.send_outgoing(frames)
+        frames = reply_frames(call.id, call.topic, reply, self.chunk_bytes)
+        link.queue_message(frames)
 
     def refuse_unlinked(self, peer: HostId) -> PeerUnreachable:
         """Count a call to a host without a link and return the error."""
--- a/agatetack/peers/calls.py
+++ b/agatetack/peers/calls.py
@@ -14,7 +14,7 @@
 from agatetack.peers.exchange import Topic
 from agatetack.peers.frames import CloseReason, LinkClosed, encode_frame
 
-PIECE_BYTES = 4096
+MAX_CHUNK_BYTES = 4096
 """Maximum payload of one chunk of a call or reply."""
 
 MAX_INCOMING_CALLS = 64
@@ -33,7 +33,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Outgoing:
+class OutgoingMessage:
     """A call or reply in the send queue.
 
     Attributes:
@@ -53,48 +53,48 @@
 
     Attributes:
         done: Set when the reply is complete or the call failed.
-        pieces: The chunks of the reply received so far.
-        size: Bytes of `pieces`.
+        chunks: The chunks of the reply received so far.
+        size: Bytes of `chunks`.
         reply: The complete reply; None before that or if the call failed.
     """
 
     done: trio.Event = dataclasses.field(default_factory=trio.Event)
-    pieces: list[bytes] = dataclasses.field(default_factory=list)
+    chunks: list[bytes] = dataclasses.field(default_factory=list)
     size: int = 0
     reply: bytes | None = None
 
 
 def call_frames(
-    number: int, topic: int, payload: bytes, piece_bytes: int
-) -> Outgoing:
-    """Return the frames of one call, in chunks of `piece_bytes`."""
+    number: int, topic: int, payload: bytes, chunk_bytes: int
+) -> OutgoingMessage:
+    """Return the frames of one call, in chunks of `chunk_bytes`."""
     frames = deque(
         encode_frame(
-            ttypes.Frame(call=ttypes.Call(number, topic, piece, more or None))
+            ttypes.Frame(call=ttypes.Call(number, topic, chunk, more or None))
         )
-        for piece, more in _cut(payload, piece_bytes)
+        for chunk, more in _split(payload, chunk_bytes)
     )
-    return Outgoing(frames, topic not in UNBUDGETED_TOPICS)
+    return OutgoingMessage(frames, topic not in UNBUDGETED_TOPICS)
 
 
 def reply_frames(
-    number: int, topic: int, payload: bytes | None, piece_bytes: int
-) -> Outgoing:
+    number: int, topic: int, payload: bytes | None, chunk_bytes: int
+) -> OutgoingMessage:
     """Return the frames of a reply; a `payload` of None reports a failure."""
     if payload is None:
         replies = [ttypes.Reply(number)]
     else:
         replies = [
-            ttypes.Reply(number, piece, more or None)
-            for piece, more in _cut(payload, piece_bytes)
+            ttypes.Reply(number, chunk, more or None)
+            for chunk, more in _split(payload, chunk_bytes)
         ]
     frames = deque(encode_frame(ttypes.Frame(reply=r)) for r in replies)
-    return Outgoing(frames, topic not in UNBUDGETED_TOPICS)
+    return OutgoingMessage(frames, topic not in UNBUDGETED_TOPICS)
 
 
-def _cut(payload: bytes, piece_bytes: int) -> Iterator[tuple[bytes, bool]]:
-    for start in range(0, max(1, len(payload)), piece_bytes):
-        end = start + piece_bytes
+def _split(payload: bytes, chunk_bytes: int) -> Iterator[tuple[bytes, bool]]:
+    for start in range(0, max(1, len(payload)), chunk_bytes):
+        end = start + chunk_bytes
         yield payload[start:end], end < len(payload)
 
 
@@ -104,7 +104,7 @@
     def __init__(self, max_bytes: int):
         """Accept up to `max_bytes` for all incomplete calls together."""
         self.max_bytes = max_bytes
-        self.pieces: dict[int, list[bytes]] = {}
+        self.chunks: dict[int, list[bytes]] = {}
         self.size = 0
 
     def add(self, call: ttypes.Call) -> bytes | None:
@@ -113,17 +113,17 @@
         Raises:
             LinkClosed: The peer exceeds a limit.
         """
-        pieces = self.pieces.setdefault(call.id, [])
-        pieces.append(call.payload)
+        chunks = self.chunks.setdefault(call.id, [])
+        chunks.append(call.payload)
         self.size += len(call.payload)
         if self.size > self.max_bytes:
             raise LinkClosed(CloseReason.OVERSIZED_FRAME)
-        if len(self.pieces) > MAX_INCOMING_CALLS:
+        if len(self.chunks) > MAX_INCOMING_CALLS:
             raise LinkClosed(CloseReason.UNEXPECTED_FRAME)
         if call.more:
             return None
-        del self.pieces[call.id]
-        payload = b"".join(pieces)
+        del self.chunks[call.id]
+        payload = b"".join(chunks)
         self.size -= len(payload)
         return payload
 
@@ -160,12 +160,12 @@
         if reply.payload is None:
             pending.done.set()
             return
-        pending.pieces.append(reply.payload)
+        pending.chunks.append(reply.payload)
         pending.size += len(reply.payload)
         if pending.size > self.max_bytes:
             raise LinkClosed(CloseReason.OVERSIZED_FRAME)
         if not reply.more:
-            pending.reply = b"".join(pending.pieces)
+            pending.reply = b"".join(pending.chunks)
             pending.done.set()
 
     def fail_all(self) -> None:
--- a/agatetack/peers/frames.py
+++ b/agatetack/peers/frames.py
@@ -188,10 +188,10 @@
     async def _fill(self) -> None:
         """Read the next bytes into the buffer."""
         try:
-            piece = await self.stream.receive_some(RECEIVE_BYTES)
+            chunk = await self.stream.receive_some(RECEIVE_BYTES)
         except (trio.BrokenResourceError, trio.ClosedResourceError) as err:
             raise LinkClosed(CloseReason.CONNECTION_LOST) from err
-        if not piece:
+        if not chunk:
             raise LinkClosed(CloseReason.ENDED)
-        self.buffer += piece
-        self.on_bytes(len(piece))
+        self.buffer += chunk
+        self.on_bytes(len(chunk))
--- a/agatetack/peers/link.py
+++ b/agatetack/peers/link.py
@@ -13,7 +13,7 @@
 from agatetack.generated.peers import ttypes
 from agatetack.ids import Deadline, FailureDomain, HostId
 from agatetack.peers.budget import ByteBudget
-from agatetack.peers.calls import IncomingCalls, Outgoing, PendingCalls
+from agatetack.peers.calls import IncomingCalls, OutgoingMessage, PendingCalls
 from agatetack.peers.counters import PeerCounters
 from agatetack.peers.frames import (
     CloseReason,
@@ -71,8 +71,8 @@
         incoming: Incomplete calls of the peer.
         control: Encoded control frames to send, with the highest priority.
         published: Encoded published messages to send.
-        work: Calls and replies that are exempt from the byte budget.
-        outgoing: Calls and replies that are subject to the byte budget.
+        unbudgeted: Calls and replies that are exempt from the byte budget.
+        budgeted: Calls and replies that are subject to the byte budget.
         answering: Number of calls of the peer that are being answered.
         sending: Whether the writing task is sending.
         unsent: The rest of a frame that the socket accepted in part.
@@ -112,8 +112,8 @@
         self.published_bytes = 0
         self.sending = False
         self.unsent = b""
-        self.work: deque[Outgoing] = deque()
-        self.outgoing: deque[Outgoing] = deque()
+        self.unbudgeted: deque[OutgoingMessage] = deque()
+        self.budgeted: deque[OutgoingMessage] = deque()
         self.answering = 0
         self.ended = trio.Event()
         self.wake = trio.Event()
@@ -209,17 +209,17 @@
             self.wake.set()
         return sent > 0
 
-    def send_outgoing(self, outgoing: Outgoing) -> None:
+    def queue_message(self, message: OutgoingMessage) -> None:
         """Queue a call or reply, which is sent as the budget allows."""
-        queue = self.outgoing if outgoing.budgeted else self.work
-        queue.append(outgoing)
+        queue = self.budgeted if message.budgeted else self.unbudgeted
+        queue.append(message)
         self.wake.set()
 
-    def withdraw(self, outgoing: Outgoing) -> None:
+    def cancel_message(self, message: OutgoingMessage) -> None:
         """Remove a call that is no longer awaited, unless partly sent."""
-        for queue in (self.work, self.outgoing):
-            if not outgoing.started and outgoing in queue:
-                queue.remove(outgoing)
+        for queue in (self.unbudgeted, self.budgeted):
+            if not message.started and message in queue:
+                queue.remove(message)
 
     async def _read(self) -> None:
         try:
@@ -264,9 +264,11 @@
             content = self.published.popleft()
             self.published_bytes -= len(content)
             return content
-        return self._next_piece(self.work) or self._next_piece(self.outgoing)
+        return self._next_chunk(self.unbudgeted) or self._next_chunk(
+            self.budgeted
+        )
 
-    def _next_piece(self, queue: deque[Outgoing]) -> bytes | None:
+    def _next_chunk(self, queue: deque[OutgoingMessage]) -> bytes | None:
         while queue and not queue[0].frames:
             queue.popleft()
         if not queue:
@@ -275,7 +277,7 @@
         size = len(first.frames[0])
         if not first.budgeted:
             self.counters.sent_unbudgeted(size)
-        elif not self.budget.take_piece(size, self.clock.now()):
+        elif not self.budget.take_chunk(size, self.clock.now()):
             return None
         first.started = True
         return first.frames.popleft()
@@ -283,9 +285,11 @@
     async def _wait_for_content(self) -> None:
         self.wake = trio.Event()
         until = self.heartbeat_at
-        if self.outgoing:
-            size = len(self.outgoing[0].frames[0])
-            until = min(until, self.budget.piece_at(size, self.clock.now()))
+        if self.budgeted:
+            size = len(self.budgeted[0].frames[0])
+            until = min(
+                until, self.budget.chunk_available_at(size, self.clock.now())
+            )
         with trio.move_on_at(until):
             await self.wake.wait()
 
--- a/agatetack/peers/test_budget.py
+++ b/agatetack/peers/test_budget.py
@@ -12,7 +12,7 @@
     ("take", "most"),
     [
         (ByteBudget.take_control, RATE),
-        (ByteBudget.take_piece, RATE * 0.75),
+        (ByteBudget.take_chunk, RATE * 0.75),
         (ByteBudget.take_publish, RATE * 0.5),
         (ByteBudget.take_announcement, RATE * 0.1),
     ],
@@ -31,8 +31,8 @@
 
 def test_piece_is_granted_when_foretold():
     budget = peers_budget(RATE)
-    while budget.take_piece(50, Deadline(0.0)):
+    while budget.take_chunk(50, Deadline(0.0)):
         pass
-    at = budget.piece_at(50, Deadline(0.0))
-    assert not budget.take_piece(50, Deadline(at - 0.01))
-    assert budget.take_piece(50, at)
+    at = budget.chunk_available_at(50, Deadline(0.0))
+    assert not budget.take_chunk(50, Deadline(at - 0.01))
+    assert budget.take_chunk(50, at)
--- a/agatetack/peers/test_calls.py
+++ b/agatetack/peers/test_calls.py
@@ -4,7 +4,7 @@
 import trio
 
 from agatetack.ids import Deadline, HostId
-from agatetack.peers.calls import MAX_INCOMING_CALLS, PIECE_BYTES
+from agatetack.peers.calls import MAX_CHUNK_BYTES, MAX_INCOMING_CALLS
 from agatetack.peers.exchange import PeerUnreachable, Topic
 from agatetack.testing.peer_net import PeerNet, closed, dropped
 
@@ -24,10 +24,10 @@
     [
         (0, 25_000),
         (1, 25_000),
-        (PIECE_BYTES, 25_000),
-        (PIECE_BYTES + 1, 25_000),
-        (10 * PIECE_BYTES, 25_000),
-        (2 * PIECE_BYTES, 1000),
+        (MAX_CHUNK_BYTES, 25_000),
+        (MAX_CHUNK_BYTES + 1, 25_000),
+        (10 * MAX_CHUNK_BYTES, 25_000),
+        (2 * MAX_CHUNK_BYTES, 1000),
     ],
 )
 async def test_payload_arrives_whole(nursery, autojump_clock, size, rate):
