--- a/agatetack/peers/call_service.py
+++ b/agatetack/peers/call_service.py
@@ -67,7 +67,7 @@
         self.counters.called("answered")
         return pending.reply
 
-    def take(self, link: Link, call: ttypes.Call) -> None:
+    def handle_call(self, link: Link, call: ttypes.Call) -> None:
         """Receive a chunk of a peer's call; handle the call once complete.
 
         Raises:
--- a/agatetack/peers/connector.py
+++ b/agatetack/peers/connector.py
@@ -71,11 +71,11 @@
         """Return this host's hello, with a fresh nonce."""
 
     @abc.abstractmethod
-    def linked(self, link: Link) -> None:
+    def link_opened(self, link: Link) -> None:
         """Handle a new link."""
 
     @abc.abstractmethod
-    def unlinked(self, link: Link) -> None:
+    def link_closed(self, link: Link) -> None:
         """Handle a closed link."""
 
 
@@ -285,7 +285,7 @@
         if peer in self.members.listed:
             found.append(self.members.listed[peer])
         if self._proves_hosts():
-            member = self.members.heard.get(peer)
+            member = self.members.known.get(peer)
             if member is not None:
                 found.append(member)
         return found
@@ -374,7 +374,7 @@
             current.close(CloseReason.REPLACED)
         self.links[link.id] = link
         self.lost.discard(link.id)
-        self.owner.linked(link)
+        self.owner.link_opened(link)
         if self.missing:
             link.send_control(self._missing_frame())
         self.view_changed()
@@ -398,6 +398,6 @@
                 # Other reasons may be intended or temporary; the next dial
                 # shows whether the host is reachable.
                 self.lost.add(link.id)
-            self.owner.unlinked(link)
+            self.owner.link_closed(link)
             self.view_changed()
         link.ended.set()
--- a/agatetack/peers/identity.py
+++ b/agatetack/peers/identity.py
@@ -107,15 +107,15 @@
             seconds = min(seconds, self.drain_seconds)
         return Deadline(self.clock.now() + seconds)
 
-    def member_of(self, said: ttypes.Member | ttypes.Hello) -> Member:
+    def to_member(self, message: ttypes.Member | ttypes.Hello) -> Member:
         """Return the member that a message just received describes."""
-        leaving = bool(said.leaving)
+        leaving = bool(message.leaving)
         return Member(
-            id=HostId(said.host),
-            incarnation=said.incarnation,
-            failure_domain=FailureDomain(said.failure_domain),
-            ip=said.ip,
-            port=said.port,
+            id=HostId(message.host),
+            incarnation=message.incarnation,
+            failure_domain=FailureDomain(message.failure_domain),
+            ip=message.ip,
+            port=message.port,
             leaving=leaving,
             live_until=self.live_until(leaving),
         )
--- a/agatetack/peers/link.py
+++ b/agatetack/peers/link.py
@@ -44,11 +44,11 @@
     leaving: bool
 
     @abc.abstractmethod
-    def heard(self, link: "Link") -> None:
+    def handle_heartbeat(self, link: "Link") -> None:
         """Handle a heartbeat of the peer."""
 
     @abc.abstractmethod
-    def take(self, link: "Link", frame: ttypes.Frame) -> None:
+    def handle_frame(self, link: "Link", frame: ttypes.Frame) -> None:
         """Handle a frame that is neither a heartbeat nor a reply.
 
         Raises:
@@ -78,7 +78,7 @@
         unsent: The rest of a frame that the socket accepted in part.
         ended: Set once the link is closed and its owner has removed it.
         sequence: Number of the last heartbeat sent.
-        heard_sequence: Highest number of a heartbeat received.
+        received_sequence: Highest number of a heartbeat received.
         unacknowledged: Heartbeats sent, as numbers with the deadlines of
             their acknowledgements.
     """
@@ -121,7 +121,7 @@
         self.silent_at = self._silence_deadline()
         self.heartbeat_at = self.clock.now()
         self.sequence = 0
-        self.heard_sequence = 0
+        self.received_sequence = 0
         self.unacknowledged: deque[tuple[int, Deadline]] = deque()
         reader.max_bytes = self.settings.max_frame_bytes
         reader.on_bytes = self._on_bytes
@@ -226,11 +226,11 @@
             while True:
                 frame = await self.reader.receive()
                 if frame.heartbeat is not None:
-                    self._take_heartbeat(frame.heartbeat)
+                    self._handle_heartbeat(frame.heartbeat)
                 elif frame.reply is not None:
                     self.calls.add(frame.reply)
                 else:
-                    self.owner.take(self, frame)
+                    self.owner.handle_frame(self, frame)
         except LinkClosed as closed:
             self.close(closed.reason)
 
@@ -297,7 +297,7 @@
         self.sequence += 1
         heartbeat = ttypes.Heartbeat(
             sequence=self.sequence,
-            acknowledged=self.heard_sequence,
+            acknowledged=self.received_sequence,
             leaving=self.owner.leaving or None,
         )
         self.control.appendleft(encode_frame(ttypes.Frame(heartbeat=heartbeat)))
@@ -305,8 +305,8 @@
         self.heartbeat_at = Deadline(now + self.settings.heartbeat_seconds)
         self._move_deadline()
 
-    def _take_heartbeat(self, heartbeat: ttypes.Heartbeat) -> None:
-        self.heard_sequence = max(self.heard_sequence, heartbeat.sequence)
+    def _handle_heartbeat(self, heartbeat: ttypes.Heartbeat) -> None:
+        self.received_sequence = max(self.received_sequence, heartbeat.sequence)
         unacknowledged = self.unacknowledged
         while unacknowledged and (
             unacknowledged[0][0] <= heartbeat.acknowledged
@@ -314,7 +314,7 @@
             unacknowledged.popleft()
         if heartbeat.leaving and not self.leaving:
             self.leaving = True
-        self.owner.heard(self)
+        self.owner.handle_heartbeat(self)
 
     def _on_bytes(self, count: int) -> None:
         self.counters.received(count)
--- a/agatetack/peers/members.py
+++ b/agatetack/peers/members.py
@@ -45,9 +45,9 @@
     The number of live members is cached, because it is needed for each message.
 
     Attributes:
-        heard: Members known from links and messages, by id, without this host.
+        known: Members known from links and messages, by id, without this host.
         listed: The other hosts that the platform lists, by id.
-        live_count: How many of `heard` were live at the last `refresh`.
+        live_count: How many of `known` were live at the last `refresh`.
     """
 
     def __init__(
@@ -57,7 +57,7 @@
         self.own = own
         self.directory = directory
         self.clock = clock
-        self.heard: dict[HostId, Member] = {}
+        self.known: dict[HostId, Member] = {}
         self.listed: dict[HostId, ListedHost] = {}
         self.live_count = 0
         self.read_list()
@@ -69,33 +69,35 @@
 
     def incarnation(self, host: HostId) -> int:
         """Return the highest known incarnation of `host`, or 0."""
-        member = self.heard.get(host)
+        member = self.known.get(host)
         return 0 if member is None else member.incarnation
 
-    def note(self, member: Member) -> bool:
+    def update(self, member: Member) -> bool:
         """Add or update a member; return whether that changed the view.
 
         A member with a lower incarnation than the known one is ignored.
         """
-        known = self.heard.get(member.id)
+        current = self.known.get(member.id)
         if member.id == self.own:
             return False
-        if known is None or member.incarnation > known.incarnation:
-            self.heard[member.id] = member
+        if current is None or member.incarnation > current.incarnation:
+            self.known[member.id] = member
             self.live_count += 1
             return True
-        if member.incarnation < known.incarnation:
+        if member.incarnation < current.incarnation:
             return False
-        changed = member.leaving and not known.leaving
+        changed = member.leaving and not current.leaving
         if changed:
-            known.leaving = True
+            current.leaving = True
             # A leaving host has an earlier deadline than a live one.
-            known.live_until = member.live_until
-        return self._extend(known, member.live_until) or changed
+            current.live_until = member.live_until
+        return self._extend(current, member.live_until) or changed
 
-    def touch(self, host: HostId, incarnation: int, until: Deadline) -> None:
+    def mark_live(
+        self, host: HostId, incarnation: int, until: Deadline
+    ) -> None:
         """Consider `host` live until then, after a message from it."""
-        member = self.heard.get(host)
+        member = self.known.get(host)
         if member is not None and member.incarnation == incarnation:
             self._extend(member, until)
 
@@ -109,7 +111,7 @@
 
     def mark_leaving(self, host: HostId, incarnation: int) -> None:
         """Record that `host` is leaving."""
-        member = self.heard.get(host)
+        member = self.known.get(host)
         if member is not None and member.incarnation == incarnation:
             member.leaving = True
 
@@ -120,7 +122,7 @@
         Any other may still be running behind a network partition and use its
         share of budgets.
         """
-        member = self.heard.get(host)
+        member = self.known.get(host)
         if member is None or member.incarnation != incarnation:
             return
         if member.leaving:
@@ -129,15 +131,15 @@
     def refresh(self) -> None:
         """Count the live members and remove those dead for long."""
         horizon = self.clock.now() - INCARNATION_MEMORY_SECONDS
-        old = [m.id for m in self.heard.values() if m.live_until < horizon]
-        for host in old:
-            del self.heard[host]
+        expired = [m.id for m in self.known.values() if m.live_until < horizon]
+        for host in expired:
+            del self.known[host]
         self.live_count = len(self.live())
 
     def live(self) -> Sequence[Member]:
         """Return the members that are not considered dead."""
         now = self.clock.now()
-        return [m for m in self.heard.values() if m.live_until > now]
+        return [m for m in self.known.values() if m.live_until > now]
 
     def domains(self) -> dict[HostId, FailureDomain]:
         """Return the failure domain of every live or listed other host."""
--- a/agatetack/peers/mesh.py
+++ b/agatetack/peers/mesh.py
@@ -49,7 +49,7 @@
 
 LOG = PartLog("peers")
 
-Take = Callable[[int, Deadline], bool]
+TakeBytes = Callable[[int, Deadline], bool]
 """Takes bytes from the budget; returns whether they were available."""
 
 
@@ -231,29 +231,29 @@
         """Return this host's hello, with a fresh nonce."""
         return self.identity.hello()
 
-    def linked(self, link: Link) -> None:
+    def link_opened(self, link: Link) -> None:
         """Handle a new link."""
-        self._note_member(link.hello)
+        self._update_member(link.hello)
         self._count_peers()
 
-    def unlinked(self, link: Link) -> None:
+    def link_closed(self, link: Link) -> None:
         """Handle a closed link."""
         self.members.link_lost(link.id, link.incarnation)
         self._count_peers()
 
-    def heard(self, link: Link) -> None:
+    def handle_heartbeat(self, link: Link) -> None:
         """Handle a heartbeat: the peer is live."""
         until = self.announcements.live_until()
-        self.members.touch(link.id, link.incarnation, until)
+        self.members.mark_live(link.id, link.incarnation, until)
         if link.leaving:
             self.members.mark_leaving(link.id, link.incarnation)
 
-    def take(self, link: Link, frame: ttypes.Frame) -> None:
+    def handle_frame(self, link: Link, frame: ttypes.Frame) -> None:
         """Handle a published message, a call or a peer's missing links."""
         if frame.publish is not None:
-            self._take_publish(link, frame.publish)
+            self._handle_publish(link, frame.publish)
         elif frame.call is not None:
-            self.calls.take(link, frame.call)
+            self.calls.handle_call(link, frame.call)
         elif frame.missing is not None:
             link.missing = frozenset(map(HostId, frame.missing.hosts))
         else:
@@ -272,7 +272,7 @@
         self,
         publish: ttypes.Publish,
         links: Iterable[Link],
-        take: Take | None = None,
+        take: TakeBytes | None = None,
     ) -> None:
         take = take or self.budget.take_publish
         # If the budget doesn't suffice for all links, a random order keeps the
@@ -295,7 +295,7 @@
             elif not link.publish(content):
                 self.counters.dropped("publish-queue-full")
 
-    def _take_publish(self, link: Link, publish: ttypes.Publish) -> None:
+    def _handle_publish(self, link: Link, publish: ttypes.Publish) -> None:
         if publish.origin is None:
             publish.origin = link.id
             publish.incarnation = link.incarnation
@@ -305,15 +305,15 @@
             return
         origin = HostId(publish.origin)
         until = self.announcements.live_until()
-        self.members.touch(origin, publish.incarnation, until)
+        self.members.mark_live(origin, publish.incarnation, until)
         if publish.topic == MEMBER_TOPIC:
-            self._take_member(link, publish)
+            self._handle_member(link, publish)
             return
         self._forward(link, publish)
         self._deliver(publish)
 
     def _forward(
-        self, link: Link, publish: ttypes.Publish, take: Take | None = None
+        self, link: Link, publish: ttypes.Publish, take: TakeBytes | None = None
     ) -> None:
         if self.reach.forwards_to_near(link, publish):
             links = self.reach.near_links()
@@ -342,21 +342,21 @@
                     error,
                 )
 
-    def _take_member(self, link: Link, publish: ttypes.Publish) -> None:
-        said = decode_member(publish.payload)
-        if said is None or said.host != publish.origin:
+    def _handle_member(self, link: Link, publish: ttypes.Publish) -> None:
+        message = decode_member(publish.payload)
+        if message is None or message.host != publish.origin:
             self.counters.dropped("member-malformed")
             return
-        self._note_member(said)
+        self._update_member(message)
         # Announcements that a host is live may be dropped when over budget; a
         # leaving host has no next announcement.
-        leaving = bool(said.leaving)
+        leaving = bool(message.leaving)
         take = None if leaving else self.budget.take_announcement
         self._forward(link, publish, take)
 
-    def _note_member(self, said: ttypes.Member | ttypes.Hello) -> None:
-        member = self.announcements.member_of(said)
-        if not self.members.note(member):
+    def _update_member(self, message: ttypes.Member | ttypes.Hello) -> None:
+        member = self.announcements.to_member(message)
+        if not self.members.update(member):
             return
         link = self.connector.links.get(member.id)
         if link is not None and link.incarnation < member.incarnation:
--- a/agatetack/peers/test_faults.py
+++ b/agatetack/peers/test_faults.py
@@ -198,9 +198,9 @@
     # A late announcement that the old incarnation is leaving doesn't affect the
     # new one.
     old.announce_leaving()
-    late = net.hosts[A].announcements.member_of(old.identity.member())
-    assert not net.hosts[A].members.note(late)
-    assert not net.hosts[A].members.heard[B].leaving
+    late = net.hosts[A].announcements.to_member(old.identity.member())
+    assert not net.hosts[A].members.update(late)
+    assert not net.hosts[A].members.known[B].leaving
     nursery.cancel_scope.cancel()
 
 
@@ -216,7 +216,7 @@
         net.hosts[B].budget.tokens *= 0.3
     net.hosts[B].announce_leaving()
     await trio.sleep(0.1)
-    assert net.hosts[A].members.heard[B].leaving
+    assert net.hosts[A].members.known[B].leaving
     [seen] = [p for p in net.hosts[C].live_peers() if p.id == B]
     assert seen.leaving
     net.unlist(B)
@@ -321,7 +321,7 @@
     await trio.sleep(1)
     for host in hosts[2:]:
         assert origins(net, host.own, Topic.CONFIG_RECORDS) == [hosts[0].own]
-        assert host.members.heard[hosts[1].own].leaving
+        assert host.members.known[hosts[1].own].leaving
     nursery.cancel_scope.cancel()
 
 
--- a/agatetack/peers/test_mesh.py
+++ b/agatetack/peers/test_mesh.py
@@ -199,7 +199,7 @@
     taken = subscribe_all(fleet)
     crossed = []
     for exchange in fleet.values():
-        take = exchange.take
+        take = exchange.handle_frame
 
         def count(link, frame, exchange=exchange, take=take):
             far = link.failure_domain != exchange.failure_domain
@@ -207,7 +207,7 @@
                 crossed.append(link.id)
             take(link, frame)
 
-        exchange.take = count
+        exchange.handle_frame = count
     sender = fleet[HostId("gateway-0")]
     sender.publish(Topic.IN_FLIGHT, b"load", scope)
     near = {
--- a/bench/capacity/series.py
+++ b/bench/capacity/series.py
@@ -80,7 +80,9 @@
     for number in range(MEMBERS):
         name = HostId(f"gateway-{number:05d}")
         ip = f"10.0.{number // 250}.{number % 250}"
-        table.note(Member(name, time.time_ns(), domain, ip, 7003, False, until))
+        table.update(
+            Member(name, time.time_ns(), domain, ip, 7003, False, until)
+        )
     return (traced_bytes() - before) / MEMBERS
 
 
