--- a/agatetack/peers/choice.py
+++ b/agatetack/peers/choice.py
@@ -13,13 +13,13 @@
 from agatetack.ids import FailureDomain, HostId
 from agatetack.peers.groups import Groups
 
-LEADER_SHARE = 0.5
+LEADER_LINKS_RATIO = 0.5
 """Maximum links of a leader to leaders of other groups per `max_peers`.
 
 If there are more groups, a leader has links with some of the others only.
 """
 
-SECOND_LINKS = 3
+MAX_SECOND_LEADER_LINKS = 3
 """Maximum number of leaders of other groups that a second leader dials.
 
 The second leader of a group replaces the first one if that is lost.
@@ -30,7 +30,7 @@
     own: HostId,
     domains: Mapping[HostId, FailureDomain],
     max_peers: int,
-    lost: Collection[HostId] = (),
+    unreachable: Collection[HostId] = (),
     groups: Groups | None = None,
 ) -> frozenset[HostId]:
     """Return the hosts that `own` dials.
@@ -43,7 +43,7 @@
         own: The host that chooses.
         domains: The failure domain of each known host, `own` included.
         max_peers: The intended maximum number of links of a host.
-        lost: Hosts that were unreachable when last dialled.
+        unreachable: Hosts that were unreachable when last dialled.
         groups: The groups of `domains`, if already computed.
     """
     others = [host for host in domains if host != own]
@@ -53,16 +53,22 @@
     group = groups.group_of[own]
     chosen = {host for host in groups.hosts[group] if host != own}
     chosen.add(_next_in_hash_order(own, others))
-    leaders = groups.leaders(group, lost)
+    leaders = groups.leaders(group, unreachable)
     if own in leaders:
-        far = [h for h in groups.first_leaders(lost) if h not in leaders]
-        most = int(max_peers * LEADER_SHARE)
+        other_leaders = [
+            h for h in groups.first_leaders(unreachable) if h not in leaders
+        ]
+        max_links = int(max_peers * LEADER_LINKS_RATIO)
         # If only some are chosen, about as many leaders choose this host, so
         # each side dials half of the links.
-        count = len(far) if len(far) <= most else most // 2
+        count = (
+            len(other_leaders)
+            if len(other_leaders) <= max_links
+            else max_links // 2
+        )
         if own != leaders[0]:
-            count = min(count, SECOND_LINKS)
-        chosen.update(_best(own, far, count))
+            count = min(count, MAX_SECOND_LEADER_LINKS)
+        chosen.update(_lowest_ranked(own, other_leaders, count))
     return frozenset(chosen)
 
 
@@ -72,7 +78,9 @@
     return _hash(f"{low}|{high}")
 
 
-def _best(own: HostId, hosts: Iterable[HostId], count: int) -> list[HostId]:
+def _lowest_ranked(
+    own: HostId, hosts: Iterable[HostId], count: int
+) -> list[HostId]:
     ranked = sorted(hosts, key=lambda host: pair_rank(own, host))
     return ranked[: max(0, count)]
 
--- a/agatetack/peers/connector.py
+++ b/agatetack/peers/connector.py
@@ -29,17 +29,19 @@
 MAX_HANDSHAKES = 64
 """Maximum number of connections that are not authenticated yet."""
 
-CHOICE_PAUSE_SECONDS = 0.05
+MIN_CHOICE_PAUSE_SECONDS = 0.05
 """Minimum time between two choices of peers, as changes come in bursts."""
 
-PAUSE_HOSTS = 50
-"""Fleet size above which `CHOICE_PAUSE_SECONDS` grows in proportion.
+CHOICE_PAUSE_HOSTS = 50
+"""Fleet size above which `MIN_CHOICE_PAUSE_SECONDS` grows in proportion.
 
 A choice among 312 hosts takes 2 ms of CPU time, and all of them may appear
 within a few seconds.
 """
 
-GONE_REASONS = frozenset({CloseReason.SILENT, CloseReason.UNACKNOWLEDGED})
+UNREACHABLE_REASONS = frozenset(
+    {CloseReason.SILENT, CloseReason.UNACKNOWLEDGED}
+)
 """Reasons that show that the host at the other end is unreachable."""
 
 LOG = PartLog("peers")
@@ -84,18 +86,18 @@
 
     Attributes:
         links: The link with each connected peer.
-        wanted: The chosen hosts, to which this host keeps links.
-        missing: Hosts of `wanted` without a link, as last sent to the peers.
+        chosen: The chosen hosts, to which this host keeps links.
+        missing: Hosts of `chosen` without a link, as last sent to the peers.
         bounded: Whether the fleet is too large for a full mesh of links.
         groups: The groups of such a fleet, else None.
         group: This host's group.
         leaders: The current leaders of this group, the first leader first.
         targets: The targets that are divided among the groups.
-        lost: Hosts that were unreachable when last dialled.
+        unreachable: Hosts that were unreachable when last dialled.
         open_stream: Opens a connection to an IP address and port.
-        dialling: Cancels the task that keeps the link with a host, by host.
+        dial_scopes: Cancel the task that keeps the link with a host, by host.
         handshakes: Connections with an unfinished handshake.
-        changed: Set when peers have to be chosen again.
+        choice_due: Set when peers have to be chosen again.
     """
 
     def __init__(self, owner: ConnectorOwner, source: random.Random):
@@ -109,18 +111,18 @@
         self.transport = owner.transport
         self.random = source
         self.links: dict[HostId, Link] = {}
-        self.wanted: frozenset[HostId] = frozenset()
+        self.chosen: frozenset[HostId] = frozenset()
         self.missing: frozenset[HostId] = frozenset()
         self.bounded = False
         self.groups: Groups | None = None
         self.group: GroupId | None = None
         self.leaders: Sequence[HostId] = ()
-        self.lost: set[HostId] = set()
+        self.unreachable: set[HostId] = set()
         self.open_stream: OpenStream = self.transport.open
-        self.dialling: dict[HostId, trio.CancelScope] = {}
+        self.dial_scopes: dict[HostId, trio.CancelScope] = {}
         self.handshakes = 0
         self.targets: Sequence[PlacedTarget] = ()
-        self.changed = trio.Event()
+        self.choice_due = trio.Event()
 
     def set_targets(self, targets: Sequence[PlacedTarget]) -> None:
         """Replace the targets and divide them among the groups."""
@@ -128,52 +130,52 @@
         if self.groups is not None:
             self.groups.assign_targets(targets)
 
-    def view_changed(self) -> None:
+    def schedule_choice(self) -> None:
         """Schedule a new choice of peers."""
-        self.changed.set()
+        self.choice_due.set()
 
     async def keep_links(self) -> None:
         """Choose peers and keep links with them until cancelled."""
         async with trio.open_nursery() as nursery:
             while True:
-                self.changed = trio.Event()
+                self.choice_due = trio.Event()
                 self.members.refresh()
                 self.counters.flush()
-                self._choose(nursery)
-                self._tell_missing()
+                self._choose_peers(nursery)
+                self._send_missing()
                 with trio.move_on_after(self.settings.timeout_seconds):
-                    await self.changed.wait()
+                    await self.choice_due.wait()
                 await trio.sleep(self._choice_pause())
 
     def _choice_pause(self) -> float:
         hosts = 1 + len(self.members.listed)
-        return CHOICE_PAUSE_SECONDS * max(1.0, hosts / PAUSE_HOSTS)
+        return MIN_CHOICE_PAUSE_SECONDS * max(1.0, hosts / CHOICE_PAUSE_HOSTS)
 
-    def _choose(self, nursery: trio.Nursery) -> None:
+    def _choose_peers(self, nursery: trio.Nursery) -> None:
         domains = self.members.domains()
         self.bounded = len(domains) > self.settings.max_peers
         domains[self.own] = self.owner.failure_domain
-        reachable = {
+        dialable = {
             host: domain
             for host, domain in domains.items()
-            if host == self.own or self._is_reachable(host)
+            if host == self.own or self._is_dialable(host)
         }
-        self._split(reachable)
-        self.wanted = choose_peers(
+        self._update_groups(dialable)
+        self.chosen = choose_peers(
             self.own,
-            reachable,
+            dialable,
             self.settings.max_peers,
-            self.lost,
+            self.unreachable,
             self.groups,
         )
-        for host in sorted(self.dialling.keys() - self.wanted):
-            self.dialling.pop(host).cancel()
-        for host in sorted(self.wanted - self.dialling.keys()):
+        for host in sorted(self.dial_scopes.keys() - self.chosen):
+            self.dial_scopes.pop(host).cancel()
+        for host in sorted(self.chosen - self.dial_scopes.keys()):
             scope = trio.CancelScope()
-            self.dialling[host] = scope
+            self.dial_scopes[host] = scope
             nursery.start_soon(self._dial, host, scope)
 
-    def _split(self, domains: Mapping[HostId, FailureDomain]) -> None:
+    def _update_groups(self, domains: Mapping[HostId, FailureDomain]) -> None:
         """Compute the groups if the fleet is too large for a full mesh."""
         if not self.bounded:
             self.groups = None
@@ -182,16 +184,16 @@
             self.groups = Groups(domains, self.settings.max_peers)
             self.groups.assign_targets(self.targets)
         self.group = self.groups.group_of[self.own]
-        self.leaders = self.groups.leaders(self.group, self.lost)
+        self.leaders = self.groups.leaders(self.group, self.unreachable)
 
-    def _is_reachable(self, host: HostId) -> bool:
-        # A host with a link is reachable even if the list lacks it.
+    def _is_dialable(self, host: HostId) -> bool:
+        # A host with a link needs no address in the list.
         return host in self.links or bool(self._addresses(host))
 
-    def _tell_missing(self) -> None:
+    def _send_missing(self) -> None:
         missing = frozenset()
         if not self.bounded:
-            missing = self.wanted - self.links.keys()
+            missing = self.chosen - self.links.keys()
         if missing == self.missing:
             return
         self.missing = missing
@@ -264,15 +266,15 @@
                 LOG.debug("The connection to %s failed: %s.", peer, error)
         if stream is None:
             self.counters.closed_for(CloseReason.CONNECT_FAILED)
-            self._lose(peer)
+            self._mark_unreachable(peer)
             return
         await self._serve(stream, Side.DIALLING, admit)
 
-    def _lose(self, peer: HostId) -> None:
+    def _mark_unreachable(self, peer: HostId) -> None:
         """Mark `peer` as unreachable, which excludes it from the leaders."""
-        if peer not in self.lost:
-            self.lost.add(peer)
-            self.view_changed()
+        if peer not in self.unreachable:
+            self.unreachable.add(peer)
+            self.schedule_choice()
 
     def _addresses(self, peer: HostId) -> list[ListedHost | Member]:
         """Return the known addresses of `peer`: as listed and as announced.
@@ -284,7 +286,7 @@
         found: list[ListedHost | Member] = []
         if peer in self.members.listed:
             found.append(self.members.listed[peer])
-        if self._proves_hosts():
+        if self._authenticates_hosts():
             member = self.members.known.get(peer)
             if member is not None:
                 found.append(member)
@@ -293,16 +295,16 @@
     def _admit_accepted(self, hello: ttypes.Hello, remote_ip: str) -> None:
         if hello.host == self.own:
             raise LinkClosed(CloseReason.WRONG_HOST)
-        if not self._proves_hosts():
+        if not self._authenticates_hosts():
             listed = self.members.listed.values()
             if remote_ip not in {host.ip for host in listed}:
                 raise LinkClosed(CloseReason.NOT_LISTED)
         self._check_incarnation(hello)
-        most = MAX_LINKS_RATIO * self.settings.max_peers
-        if len(self.links) >= most and hello.host not in self.links:
+        max_links = MAX_LINKS_RATIO * self.settings.max_peers
+        if len(self.links) >= max_links and hello.host not in self.links:
             raise LinkClosed(CloseReason.TOO_MANY)
 
-    def _proves_hosts(self) -> bool:
+    def _authenticates_hosts(self) -> bool:
         return self.settings.shared_key is not None or (
             self.settings.tls is not None
         )
@@ -368,18 +370,18 @@
         # during the handshake.
         self._check_incarnation(link.hello)
         current = self.links.get(link.id)
-        if current is not None and self._keeps(current, link):
+        if current is not None and self._keeps_current(current, link):
             raise LinkClosed(CloseReason.DUPLICATE)
         if current is not None:
             current.close(CloseReason.REPLACED)
         self.links[link.id] = link
-        self.lost.discard(link.id)
+        self.unreachable.discard(link.id)
         self.owner.link_opened(link)
         if self.missing:
             link.send_control(self._missing_frame())
-        self.view_changed()
+        self.schedule_choice()
 
-    def _keeps(self, current: Link, new: Link) -> bool:
+    def _keeps_current(self, current: Link, new: Link) -> bool:
         """Return whether `current` is kept; both ends decide the same."""
         return (
             current.live
@@ -394,10 +396,10 @@
     def _unregister(self, link: Link) -> None:
         if self.links.get(link.id) is link:
             del self.links[link.id]
-            if link.reason in GONE_REASONS:
+            if link.reason in UNREACHABLE_REASONS:
                 # Other reasons may be intended or temporary; the next dial
                 # shows whether the host is reachable.
-                self.lost.add(link.id)
+                self.unreachable.add(link.id)
             self.owner.link_closed(link)
-            self.view_changed()
+            self.schedule_choice()
         link.ended.set()
--- a/agatetack/peers/groups.py
+++ b/agatetack/peers/groups.py
@@ -202,20 +202,24 @@
         )
 
     def leaders(
-        self, group: GroupId, lost: Collection[HostId] = ()
+        self, group: GroupId, unreachable: Collection[HostId] = ()
     ) -> Sequence[HostId]:
         """Return the leaders of `group`, the first leader first.
 
         Args:
             group: The group.
-            lost: Hosts that are unreachable now.
+            unreachable: Hosts that are unreachable now.
         """
-        reachable = [host for host in self.hosts[group] if host not in lost]
+        reachable = [
+            host for host in self.hosts[group] if host not in unreachable
+        ]
         return reachable[:LEADERS_PER_GROUP]
 
-    def first_leaders(self, lost: Collection[HostId] = ()) -> list[HostId]:
+    def first_leaders(
+        self, unreachable: Collection[HostId] = ()
+    ) -> list[HostId]:
         """Return the first leader of each group."""
-        firsts = (self.leaders(group, lost)[:1] for group in self.hosts)
+        firsts = (self.leaders(group, unreachable)[:1] for group in self.hosts)
         return [host for leaders in firsts for host in leaders]
 
 
--- a/agatetack/peers/mesh.py
+++ b/agatetack/peers/mesh.py
@@ -175,7 +175,7 @@
         if not self.bounded:
             return list(peers.values())
         for member in self.members.live():
-            if member.id in peers or member.id in self.connector.wanted:
+            if member.id in peers or member.id in self.connector.chosen:
                 continue
             peers[member.id] = Peer(
                 member.id,
@@ -361,7 +361,7 @@
         link = self.connector.links.get(member.id)
         if link is not None and link.incarnation < member.incarnation:
             link.close(CloseReason.OLD_INCARNATION)
-        self.connector.view_changed()
+        self.connector.schedule_choice()
 
     def _count_peers(self) -> None:
         self.metrics.peers.set({}, len(self.connector.links))
@@ -378,4 +378,4 @@
 
     def _list_changed(self, *_: object) -> None:
         self.members.read_list()
-        self.connector.view_changed()
+        self.connector.schedule_choice()
--- a/agatetack/peers/reach.py
+++ b/agatetack/peers/reach.py
@@ -45,7 +45,7 @@
         groups = self.connector.groups
         if groups is None:
             return ()
-        return groups.first_leaders(self.connector.lost)
+        return groups.first_leaders(self.connector.unreachable)
 
     def group_hosts(self) -> Sequence[HostId]:
         """Return the hosts of the own group; none without groups."""
--- a/agatetack/peers/test_mesh.py
+++ b/agatetack/peers/test_mesh.py
@@ -299,7 +299,7 @@
 
     def settled(exchange):
         connector = exchange.connector
-        return connector.bounded and connector.wanted <= connector.links.keys()
+        return connector.bounded and connector.chosen <= connector.links.keys()
 
     await wait_until(lambda: all(settled(e) for e in fleet.values()))
     taken = subscribe_all(fleet)
@@ -338,7 +338,7 @@
 
     def settled(exchange):
         connector = exchange.connector
-        return connector.bounded and connector.wanted <= connector.links.keys()
+        return connector.bounded and connector.chosen <= connector.links.keys()
 
     await wait_until(lambda: all(settled(e) for e in fleet))
     # Unneeded links were closed, and no host marked another one as lost because
@@ -346,4 +346,6 @@
     await wait_until(
         lambda: sum(len(e.connector.links) for e in fleet) < 0.75 * links
     )
-    assert [e.connector.lost for e in fleet if e.connector.lost] == []
+    assert [
+        e.connector.unreachable for e in fleet if e.connector.unreachable
+    ] == []
--- a/bench/peers.py
+++ b/bench/peers.py
@@ -222,8 +222,8 @@
     while trio.current_time() < until:
         await trio.sleep(0.05)
         if all(
-            host.connector.wanted
-            and host.connector.wanted <= host.connector.links.keys()
+            host.connector.chosen
+            and host.connector.chosen <= host.connector.links.keys()
             for host in fleet
         ):
             break
