--- a/agatetack/peers/backoff.py
+++ b/agatetack/peers/backoff.py
@@ -4,10 +4,10 @@
 
 from agatetack.ids import Deadline
 
-FIRST_SECONDS = 0.05
+MAX_FIRST_DELAY_SECONDS = 0.05
 """Upper bound of the delay before the second attempt."""
 
-MAX_SECONDS = 2.0
+MAX_DELAY_SECONDS = 2.0
 """Upper bound of the delay between two attempts."""
 
 
@@ -21,14 +21,16 @@
     def __init__(self, source: random.Random):
         """Draw the jitter from `source`."""
         self.source = source
-        self.seconds = FIRST_SECONDS
+        self.max_delay_seconds = MAX_FIRST_DELAY_SECONDS
 
     def reset(self) -> None:
         """Return to the shortest delay, after a link was established."""
-        self.seconds = FIRST_SECONDS
+        self.max_delay_seconds = MAX_FIRST_DELAY_SECONDS
 
-    def next_at(self, now: Deadline) -> Deadline:
+    def next_attempt_at(self, now: Deadline) -> Deadline:
         """Return the time of the next attempt."""
-        wait = self.seconds * self.source.uniform(0.5, 1)
-        self.seconds = min(MAX_SECONDS, self.seconds * 2)
-        return Deadline(now + wait)
+        delay_seconds = self.max_delay_seconds * self.source.uniform(0.5, 1)
+        self.max_delay_seconds = min(
+            MAX_DELAY_SECONDS, self.max_delay_seconds * 2
+        )
+        return Deadline(now + delay_seconds)
--- a/agatetack/peers/call_service.py
+++ b/agatetack/peers/call_service.py
@@ -29,7 +29,7 @@
     """Outgoing and incoming calls of one host.
 
     Attributes:
-        servers: The handlers of peers' calls, by topic.
+        handlers: The handlers of peers' calls, by topic.
         nursery: Runs the handlers; set before the first call arrives.
         chunk_bytes: Payload bytes of one chunk of a call or reply.
     """
@@ -37,7 +37,7 @@
     def __init__(self, settings: PeersSettings, counters: PeerCounters):
         """Derive the chunk size from `settings`."""
         self.counters = counters
-        self.servers: dict[int, CallHandler] = {}
+        self.handlers: dict[int, CallHandler] = {}
         self.nursery: trio.Nursery | None = None
         share = settings.bytes_per_second // MIN_CHUNKS_PER_SECOND
         self.chunk_bytes = max(1, min(MAX_CHUNK_BYTES, share))
@@ -86,11 +86,11 @@
     async def _answer(
         self, link: Link, call: ttypes.Call, payload: bytes
     ) -> None:
-        server = self.servers.get(call.topic)
+        handler = self.handlers.get(call.topic)
         reply = None
         try:
-            if server is not None:
-                reply = await server(link.id, payload)
+            if handler is not None:
+                reply = await handler(link.id, payload)
         except Exception as error:  # noqa: BLE001
             # The reply below reports the failure to the peer.
             LOG.error(
@@ -108,7 +108,7 @@
         frames = reply_frames(call.id, call.topic, reply, self.chunk_bytes)
         link.queue_message(frames)
 
-    def refuse_unlinked(self, peer: HostId) -> PeerUnreachable:
+    def no_link_error(self, peer: HostId) -> PeerUnreachable:
         """Count a call to a host without a link and return the error."""
         self.counters.called("no-link")
         return PeerUnreachable(f"there is no link with {peer}")
--- a/agatetack/peers/connector.py
+++ b/agatetack/peers/connector.py
@@ -18,7 +18,7 @@
     LinkClosed,
 )
 from agatetack.peers.groups import GroupId, Groups, PlacedTarget
-from agatetack.peers.handshake import Side, shake_hands
+from agatetack.peers.handshake import Side, perform_handshake
 from agatetack.peers.link import Link, LinkOwner
 from agatetack.peers.members import Member, MemberTable
 from agatetack.peers.transport import Transport
@@ -249,7 +249,9 @@
                     backoff.reset()
                 else:
                     await self._dial_once(peer, admit)
-                await trio.sleep_until(backoff.next_at(self.clock.now()))
+                await trio.sleep_until(
+                    backoff.next_attempt_at(self.clock.now())
+                )
 
     async def _dial_once(self, peer: HostId, admit: Admit) -> None:
         addresses = self._addresses(peer)
@@ -318,7 +320,7 @@
     ) -> None:
         reader = FrameReader(stream, self.counters.received)
         try:
-            hello = await self._shake_hands(stream, reader, side, admit)
+            hello = await self._perform_handshake(stream, reader, side, admit)
             link = Link(stream, reader, hello, side, self.owner)
             self._register(link)
         except LinkClosed as closed:
@@ -333,7 +335,7 @@
         finally:
             self._unregister(link)
 
-    async def _shake_hands(
+    async def _perform_handshake(
         self,
         stream: trio.abc.Stream,
         reader: FrameReader,
@@ -351,7 +353,7 @@
         self.handshakes += 1
         try:
             with trio.move_on_after(self.settings.timeout_seconds):
-                return await shake_hands(
+                return await perform_handshake(
                     side,
                     self.settings.shared_key,
                     self.owner.hello(),
--- a/agatetack/peers/frames.py
+++ b/agatetack/peers/frames.py
@@ -12,19 +12,27 @@
 LENGTH_BYTES = 4
 """Size of the length prefix of each frame."""
 
-HELLO_MAX_BYTES = 1024
+MAX_HELLO_BYTES = 1024
 """Maximum size of a frame before the other end is authenticated."""
 
-RECEIVE_BYTES = 65536
+MAX_RECEIVE_BYTES = 65536
 """Maximum number of bytes read from a connection at once."""
 
 HOST_PATTERN = re.compile(r"[A-Za-z0-9][A-Za-z0-9._-]{0,99}")
 """Format of host ids and failure domains in the settings."""
 
-MAX_IP_LENGTH = 45
+MAX_IP_CHARS = 45
 """Length of the longest IPv6 address, in characters."""
 
-_KINDS = ("hello", "proof", "heartbeat", "publish", "call", "reply", "missing")
+_FRAME_KINDS = (
+    "hello",
+    "proof",
+    "heartbeat",
+    "publish",
+    "call",
+    "reply",
+    "missing",
+)
 
 
 class CloseReason(enum.Enum):
@@ -76,7 +84,9 @@
     """
     try:
         frame = CODEC.read_into(ttypes.Frame(), content)
-        kinds = [kind for kind in _KINDS if getattr(frame, kind) is not None]
+        kinds = [
+            kind for kind in _FRAME_KINDS if getattr(frame, kind) is not None
+        ]
         if len(kinds) != 1:
             raise LinkClosed(CloseReason.MALFORMED_FRAME)
         # The accelerated decoder leaves absent fields and fields of the wrong
@@ -104,12 +114,12 @@
         member = decode(ttypes.Member, payload)
     except MalformedMessage:
         return None
-    return member if _place_is_valid(member) else None
+    return member if _member_is_valid(member) else None
 
 
 def _names_are_valid(frame: ttypes.Frame) -> bool:
     if frame.hello is not None:
-        return _place_is_valid(frame.hello)
+        return _member_is_valid(frame.hello)
     if frame.publish is not None:
         return _origin_is_valid(frame.publish)
     if frame.missing is not None:
@@ -123,12 +133,12 @@
     return publish.incarnation is not None and _is_name(publish.origin)
 
 
-def _place_is_valid(place: ttypes.Hello | ttypes.Member) -> bool:
+def _member_is_valid(member: ttypes.Hello | ttypes.Member) -> bool:
     return (
-        _is_name(place.host)
-        and _is_name(place.failure_domain)
-        and len(place.ip) <= MAX_IP_LENGTH
-        and 0 <= place.port <= 65_535
+        _is_name(member.host)
+        and _is_name(member.failure_domain)
+        and len(member.ip) <= MAX_IP_CHARS
+        and 0 <= member.port <= 65_535
     )
 
 
@@ -150,7 +160,7 @@
         """Read from `stream`; call `on_bytes` with the size of each read."""
         self.stream = stream
         self.on_bytes = on_bytes
-        self.max_bytes = HELLO_MAX_BYTES
+        self.max_bytes = MAX_HELLO_BYTES
         self.last_frame = b""
         self.buffer = bytearray()
 
@@ -162,9 +172,9 @@
                 malformed or too large.
         """
         while not self._has_frame():
-            await self._fill()
-        self.last_frame = bytes(self.buffer[: self._end()])
-        del self.buffer[: self._end()]
+            await self._fill_buffer()
+        self.last_frame = bytes(self.buffer[: self._frame_end()])
+        del self.buffer[: self._frame_end()]
         return decode_frame(self.last_frame[LENGTH_BYTES:])
 
     def _has_frame(self) -> bool:
@@ -175,20 +185,20 @@
         """
         if len(self.buffer) < LENGTH_BYTES:
             return False
-        end = self._end()
+        end = self._frame_end()
         if end - LENGTH_BYTES > self.max_bytes:
             raise LinkClosed(CloseReason.OVERSIZED_FRAME)
         return len(self.buffer) >= end
 
-    def _end(self) -> int:
+    def _frame_end(self) -> int:
         """Return the size of the first frame, with its length prefix."""
         length = int.from_bytes(self.buffer[:LENGTH_BYTES], "big")
         return LENGTH_BYTES + length
 
-    async def _fill(self) -> None:
+    async def _fill_buffer(self) -> None:
         """Read the next bytes into the buffer."""
         try:
-            chunk = await self.stream.receive_some(RECEIVE_BYTES)
+            chunk = await self.stream.receive_some(MAX_RECEIVE_BYTES)
         except (trio.BrokenResourceError, trio.ClosedResourceError) as err:
             raise LinkClosed(CloseReason.CONNECTION_LOST) from err
         if not chunk:
--- a/agatetack/peers/handshake.py
+++ b/agatetack/peers/handshake.py
@@ -23,7 +23,7 @@
 NONCE_BYTES = 16
 """Size of the random nonce in each hello."""
 
-_DIGEST = "sha256"
+_HMAC_DIGEST = "sha256"
 
 Send = Callable[[bytes], Awaitable[None]]
 """Sends the bytes of one frame."""
@@ -41,22 +41,24 @@
     return secrets.token_bytes(NONCE_BYTES)
 
 
-def proof_of(key: str | None, side: Side, dialled: bytes, met: bytes) -> bytes:
+def compute_proof(
+    key: str | None, side: Side, dialling_hello: bytes, accepting_hello: bytes
+) -> bytes:
     """Return the proof that the host on `side` has to send.
 
     Args:
         key: The shared key; without one the proof is empty.
         side: The side of the sender, so that a proof can't be reflected.
-        dialled: The hello frame of the dialling host.
-        met: The hello frame of the accepting host.
+        dialling_hello: The hello frame of the dialling host.
+        accepting_hello: The hello frame of the accepting host.
     """
     if key is None:
         return b""
-    text = side.value + dialled + met
-    return hmac.digest(key.encode(), text, _DIGEST)
+    signed_bytes = side.value + dialling_hello + accepting_hello
+    return hmac.digest(key.encode(), signed_bytes, _HMAC_DIGEST)
 
 
-async def shake_hands(
+async def perform_handshake(
     side: Side,
     key: str | None,
     own: ttypes.Hello,
@@ -83,17 +85,25 @@
     theirs = await _receive_hello(reader)
     # The proof covers the bytes as received, because a newer host may send
     # fields that this version doesn't know.
-    texts = own_frame, reader.last_frame
+    hello_frames = own_frame, reader.last_frame
     admit(theirs)
     if side is Side.ACCEPTING:
         await send(own_frame)
-        texts = reader.last_frame, own_frame
+        hello_frames = reader.last_frame, own_frame
     if side is Side.DIALLING:
-        await send(_proof_frame(proof_of(key, Side.DIALLING, *texts)))
-        await _check_proof(reader, proof_of(key, Side.ACCEPTING, *texts))
+        await send(
+            _proof_frame(compute_proof(key, Side.DIALLING, *hello_frames))
+        )
+        await _check_proof(
+            reader, compute_proof(key, Side.ACCEPTING, *hello_frames)
+        )
     else:
-        await _check_proof(reader, proof_of(key, Side.DIALLING, *texts))
-        await send(_proof_frame(proof_of(key, Side.ACCEPTING, *texts)))
+        await _check_proof(
+            reader, compute_proof(key, Side.DIALLING, *hello_frames)
+        )
+        await send(
+            _proof_frame(compute_proof(key, Side.ACCEPTING, *hello_frames))
+        )
     return theirs
 
 
--- a/agatetack/peers/identity.py
+++ b/agatetack/peers/identity.py
@@ -20,7 +20,7 @@
 MIN_ANNOUNCE_SECONDS = 10.0
 """Minimum time between two announcements of one host."""
 
-LIVE_ANNOUNCEMENTS = 3
+MAX_MISSED_ANNOUNCEMENTS = 3
 """Missed announcements after which a host is considered dead."""
 
 
@@ -102,7 +102,7 @@
 
     def live_until(self, leaving: bool = False) -> Deadline:
         """Return until when a host heard from now is considered live."""
-        seconds = LIVE_ANNOUNCEMENTS * self._interval_seconds()
+        seconds = MAX_MISSED_ANNOUNCEMENTS * self._interval_seconds()
         if leaving:
             seconds = min(seconds, self.drain_seconds)
         return Deadline(self.clock.now() + seconds)
--- a/agatetack/peers/link.py
+++ b/agatetack/peers/link.py
@@ -148,7 +148,7 @@
 
     async def run(self) -> CloseReason:
         """Serve the link until it is closed; return the reason."""
-        self._move_deadline()
+        self._update_deadline()
         try:
             with self.scope:
                 async with trio.open_nursery() as nursery:
@@ -183,8 +183,8 @@
         Returns:
             False if the queue is full because the peer reads too slowly.
         """
-        room = self.settings.max_frame_bytes - self.published_bytes
-        if len(content) > room:
+        free_bytes = self.settings.max_frame_bytes - self.published_bytes
+        if len(content) > free_bytes:
             return False
         if self._send_at_once(content):
             return True
@@ -303,7 +303,7 @@
         self.control.appendleft(encode_frame(ttypes.Frame(heartbeat=heartbeat)))
         self.unacknowledged.append((self.sequence, self._silence_deadline()))
         self.heartbeat_at = Deadline(now + self.settings.heartbeat_seconds)
-        self._move_deadline()
+        self._update_deadline()
 
     def _handle_heartbeat(self, heartbeat: ttypes.Heartbeat) -> None:
         self.received_sequence = max(self.received_sequence, heartbeat.sequence)
@@ -323,7 +323,7 @@
     def _silence_deadline(self) -> Deadline:
         return Deadline(self.clock.now() + self.settings.timeout_seconds)
 
-    def _move_deadline(self) -> None:
+    def _update_deadline(self) -> None:
         # Called for each heartbeat sent, not for each frame received: that is
         # often enough and costs less.
         deadline = self.silent_at
--- a/agatetack/peers/mesh.py
+++ b/agatetack/peers/mesh.py
@@ -92,7 +92,7 @@
         self.connector = Connector(self, self.random)
         self.reach = Reach(self.own, self.failure_domain, self.connector)
         self.max_publish_bytes = min(
-            settings.peers.max_frame_bytes, self.budget.max_publish()
+            settings.peers.max_frame_bytes, self.budget.max_publish_bytes()
         )
         directory.on_change(self._list_changed)
 
@@ -140,7 +140,7 @@
 
     def serve(self, topic: Topic, handler: CallHandler) -> None:
         """Answer peers' calls of `topic` with `handler`."""
-        self.calls.servers[topic.value] = handler
+        self.calls.handlers[topic.value] = handler
 
     async def call(
         self, peer: HostId, topic: Topic, payload: bytes, deadline: Deadline
@@ -148,7 +148,7 @@
         """Call one connected peer and return its reply."""
         link = self.connector.links.get(peer)
         if link is None:
-            raise self.calls.refuse_unlinked(peer)
+            raise self.calls.no_link_error(peer)
         return await self.calls.call(link, topic, payload, deadline)
 
     def live_peers(self) -> Sequence[Peer]:
@@ -277,16 +277,18 @@
         take = take or self.budget.take_publish
         # If the budget doesn't suffice for all links, a random order keeps the
         # same peers from missing the message each time.
-        order = list(links)
-        self.random.shuffle(order)
+        shuffled = list(links)
+        self.random.shuffle(shuffled)
         now = self.clock.now()
         contents: dict[bool, bytes] = {}
-        for link in order:
-            short = publish.origin == self.own and link.fills_in_origin
-            if short not in contents:
-                sent = without_origin(publish) if short else publish
-                contents[short] = encode_frame(ttypes.Frame(publish=sent))
-            content = contents[short]
+        for link in shuffled:
+            omits_origin = publish.origin == self.own and link.fills_in_origin
+            if omits_origin not in contents:
+                sent = without_origin(publish) if omits_origin else publish
+                contents[omits_origin] = encode_frame(
+                    ttypes.Frame(publish=sent)
+                )
+            content = contents[omits_origin]
             if len(content) > self.max_publish_bytes:
                 self.counters.dropped("publish-too-large")
                 return
--- a/agatetack/peers/test_handshake.py
+++ b/agatetack/peers/test_handshake.py
@@ -19,7 +19,7 @@
     decode_frame,
     encode_frame,
 )
-from agatetack.peers.handshake import Side, proof_of, shake_hands
+from agatetack.peers.handshake import Side, compute_proof, perform_handshake
 from agatetack.testing.peer_fleet import LOOPBACK
 from agatetack.testing.peer_net import PeerNet, closed
 
@@ -53,14 +53,14 @@
         self.reader = FrameReader(self.stream, lambda count: None)
         nursery.start_soon(host.connector.serve_accepted, far, ip)
 
-    async def shake_hands(self, name: str = RAW) -> None:
-        await shake_hands(
+    async def perform_handshake(self, name: str = RAW) -> None:
+        await perform_handshake(
             Side.DIALLING,
             KEY,
             hello(host=name),
             self.reader,
             self.stream.send_all,
-            lambda met: None,
+            lambda theirs: None,
         )
 
 
@@ -127,7 +127,7 @@
     [link] = host.connector.links.values()
     raw = RawPeer(host, nursery, case.ip)
     if case.proved:
-        await raw.shake_hands()
+        await raw.perform_handshake()
     await raw.stream.send_all(case.content)
     await trio.sleep(5)
     assert closed(host, case.reason) == 1
@@ -145,7 +145,7 @@
     net = PeerNet(nursery, shared_key=KEY)
     host = await net.start(HOST)
     raw = RawPeer(host, nursery)
-    await raw.shake_hands()
+    await raw.perform_handshake()
     for number in range(1, 10):
         await trio.sleep(0.2)
         assert RAW in host.connector.links
@@ -167,7 +167,7 @@
     await trio.sleep(5)
     for number in range(MAX_LINKS_RATIO + 3):
         with contextlib.suppress(LinkClosed):
-            await RawPeer(host, nursery).shake_hands(f"raw{number}")
+            await RawPeer(host, nursery).perform_handshake(f"raw{number}")
     assert len(host.connector.links) == MAX_LINKS_RATIO
     assert closed(host, "too-many") == 2 + 3
     nursery.cancel_scope.cancel()
@@ -176,9 +176,9 @@
 async def test_recorded_proofs_serve_nobody(nursery, autojump_clock):
     net = PeerNet(nursery, shared_key=KEY)
     host = await net.start(HOST)
-    texts = framed(hello=hello()), b"met"
-    assert proof_of(KEY, Side.DIALLING, *texts) != proof_of(
-        KEY, Side.ACCEPTING, *texts
+    hello_frames = framed(hello=hello()), b"met"
+    assert compute_proof(KEY, Side.DIALLING, *hello_frames) != compute_proof(
+        KEY, Side.ACCEPTING, *hello_frames
     )
     raw = RawPeer(host, nursery)
     sent = bytearray()
@@ -189,7 +189,7 @@
         await honest(content)
 
     raw.stream.send_all = record
-    await raw.shake_hands()
+    await raw.perform_handshake()
     replay = RawPeer(host, nursery)
     await replay.stream.send_all(bytes(sent))
     await trio.sleep(0.1)
@@ -246,7 +246,7 @@
             [link] = host.connector.links.values()
             raw = RawPeer(host, nursery)
             if proved:
-                await raw.shake_hands()
+                await raw.perform_handshake()
             with contextlib.suppress(trio.BrokenResourceError):
                 for content in frames:
                     await raw.stream.send_all(content)
