--- a/agatetack/peers/mesh.py
+++ b/agatetack/peers/mesh.py
@@ -42,7 +42,7 @@
 from agatetack.peers.identity import Announcements, Identity
 from agatetack.peers.link import Link
 from agatetack.peers.members import MemberTable
-from agatetack.peers.reach import Reach
+from agatetack.peers.reach import LinkSelector
 from agatetack.peers.relay import MEMBER_TOPIC, Relay, Verdict, without_origin
 from agatetack.peers.transport import make_transport
 from agatetack.settings.model import Settings
@@ -60,7 +60,7 @@
         identity: The identity of this host.
         members: The known hosts.
         connector: The links of this host.
-        reach: Selects the links for a message.
+        link_selector: Selects the links for a message.
     """
 
     def __init__(
@@ -90,7 +90,9 @@
         self.calls = CallService(settings.peers, self.counters)
         self.transport = make_transport(settings.peers, metrics)
         self.connector = Connector(self, self.random)
-        self.reach = Reach(self.own, self.failure_domain, self.connector)
+        self.link_selector = LinkSelector(
+            self.own, self.failure_domain, self.connector
+        )
         self.max_publish_bytes = min(
             settings.peers.max_frame_bytes, self.budget.max_publish_bytes()
         )
@@ -130,7 +132,7 @@
         self, topic: Topic, payload: bytes, scope: Scope = Scope.ALL
     ) -> None:
         """Send to connected peers; drop messages over the byte budget."""
-        links = self.reach.links_in(scope, topic.value)
+        links = self.link_selector.links_for(scope, topic.value)
         if links:
             self._publish(topic.value, payload, links)
 
@@ -164,7 +166,9 @@
         peers = self.live_peers()
         if not self.bounded:
             return peers
-        return [peer for peer in peers if self.reach.is_in_group(peer.id)]
+        return [
+            peer for peer in peers if self.link_selector.is_in_group(peer.id)
+        ]
 
     def known_hosts(self) -> Sequence[Peer]:
         """Return all other hosts that are considered live.
@@ -193,24 +197,24 @@
     @property
     def is_leader(self) -> bool:
         """Return whether this host forwards messages to its group."""
-        return self.reach.is_leader
+        return self.link_selector.is_leader
 
     @property
     def is_first_leader(self) -> bool:
         """Return whether this host reports its group's targets to others."""
-        return self.reach.is_first_leader
+        return self.link_selector.is_first_leader
 
     def first_leaders(self) -> Sequence[HostId]:
         """Return the first leader of each group, this host included."""
-        return self.reach.first_leaders()
+        return self.link_selector.first_leaders()
 
     def group_hosts(self) -> Sequence[HostId]:
         """Return the hosts of this host's group, itself included."""
-        return self.reach.group_hosts()
+        return self.link_selector.group_hosts()
 
     def shares_target(self, target: TargetId, domain: FailureDomain) -> bool:
         """Return whether `target` is assigned to this host's group."""
-        return self.reach.shares_target(target, domain)
+        return self.link_selector.shares_target(target, domain)
 
     def set_targets(self, targets: Sequence[PlacedTarget]) -> None:
         """Set all targets, which are divided among the groups."""
@@ -317,8 +321,8 @@
     def _forward(
         self, link: Link, publish: ttypes.Publish, take: TakeBytes | None = None
     ) -> None:
-        if self.reach.forwards_to_near(link, publish):
-            links = self.reach.near_links()
+        if self.link_selector.forwards_to_near(link, publish):
+            links = self.link_selector.near_links()
         elif publish.flood and not self.is_leader:
             # The leaders of the group forward it.
             links = []
--- a/agatetack/peers/reach.py
+++ b/agatetack/peers/reach.py
@@ -11,7 +11,7 @@
 from agatetack.peers.relay import COMBINED_TOPICS, ONCE_PER_DOMAIN_TOPICS
 
 
-class Reach:
+class LinkSelector:
     """Selects the links of one host for each message.
 
     In a full mesh of links, messages about load are sent to all hosts of the
@@ -71,7 +71,7 @@
         links = self.connector.links.values()
         return [link for link in links if self._is_near(link)]
 
-    def links_in(self, scope: Scope, topic: int) -> list[Link]:
+    def links_for(self, scope: Scope, topic: int) -> list[Link]:
         """Return the links over which to send a message to `scope`."""
         links = list(self.connector.links.values())
         if scope is Scope.DOMAIN:
--- a/agatetack/peers/test_groups.py
+++ b/agatetack/peers/test_groups.py
@@ -54,11 +54,11 @@
 
 def test_targets_without_hosts_in_their_domain_have_a_group():
     groups = Groups(fleet_of(100, 4), MAX_PEERS)
-    found = {
+    assigned = {
         groups.group_of_target(TargetId(f"i-{n}"), FailureDomain("elsewhere"))
         for n in range(100)
     }
-    assert len(found) > 1
+    assert len(assigned) > 1
     assert Groups({}, MAX_PEERS).group_of_target(TargetId("i"), "d") is None
 
 
@@ -113,19 +113,21 @@
         for target in placed(count, domains, f"svc{number}")
     ]
     groups.assign_targets(targets)
-    found = collections.Counter()
-    there = collections.Counter()
+    assigned = collections.Counter()
+    totals = collections.Counter()
     for target in targets:
         group = groups.group_of_target(target.id, target.failure_domain)
         assert group.failure_domain == target.failure_domain
-        found[group, target.service] += 1
-        there[target.failure_domain, target.service] += 1
-    for (domain, service), count in there.items():
-        near = groups.by_domain[domain]
-        hosts_there = sum(len(groups.hosts[group]) for group in near)
-        for group in near:
+        assigned[group, target.service] += 1
+        totals[target.failure_domain, target.service] += 1
+    for (domain, service), count in totals.items():
+        groups_in_domain = groups.by_domain[domain]
+        hosts_there = sum(
+            len(groups.hosts[group]) for group in groups_in_domain
+        )
+        for group in groups_in_domain:
             part = count * len(groups.hosts[group]) / hosts_there
-            assert abs(found[group, service] - part) < 1
+            assert abs(assigned[group, service] - part) < 1
 
 
 @pytest.mark.parametrize("gone", [1, 3])
--- a/agatetack/peers/test_mesh.py
+++ b/agatetack/peers/test_mesh.py
@@ -87,16 +87,16 @@
     await wait_until(
         lambda: all(len(host.live_peers()) == 2 for host in fleet.values())
     )
-    heard = []
-    third.subscribe(Topic.TARGET_SIGNS, lambda *got: heard.append(got))
+    received = []
+    third.subscribe(Topic.TARGET_SIGNS, lambda *got: received.append(got))
 
     async def reverse(sender: HostId, payload: bytes) -> bytes:
         return payload[::-1]
 
     second.serve(Topic.EXPLAIN, reverse)
     first.publish(Topic.TARGET_SIGNS, b"sign")
-    await wait_until(lambda: heard)
-    assert heard == [("g0", b"sign")]
+    await wait_until(lambda: received)
+    assert received == [("g0", b"sign")]
     assert first.fleet_size() == 3
     deadline = Deadline(trio.current_time() + 5)
     payload = bytes(range(256)) * 40
@@ -116,9 +116,9 @@
     make_hello = second.identity.hello
 
     def hello():
-        said = make_hello()
-        said.fills_in_origin = fills_in or None
-        return said
+        own_hello = make_hello()
+        own_hello.fills_in_origin = fills_in or None
+        return own_hello
 
     monkeypatch.setattr(second.identity, "hello", hello)
     for host in (first, second):
@@ -133,11 +133,11 @@
         "publish",
         lambda content: sizes.append(len(content)) or queue(content),
     )
-    heard = []
-    second.subscribe(Topic.IN_FLIGHT, lambda *got: heard.append(got))
+    received = []
+    second.subscribe(Topic.IN_FLIGHT, lambda *got: received.append(got))
     first.publish(Topic.IN_FLIGHT, b"count")
-    await wait_until(lambda: heard)
-    assert heard == [("g0", b"count")]
+    await wait_until(lambda: received)
+    assert received == [("g0", b"count")]
     assert (sizes[0] < 20) is fills_in
 
 
@@ -170,13 +170,13 @@
 
 def subscribe_all(fleet, topic=Topic.IN_FLIGHT):
     """Return the payloads of a topic that each host will receive."""
-    taken = {host: [] for host in fleet}
+    received = {host: [] for host in fleet}
     for host, exchange in fleet.items():
         exchange.subscribe(
             topic,
-            lambda sender, payload, host=host: taken[host].append(payload),
+            lambda sender, payload, host=host: received[host].append(payload),
         )
-    return taken
+    return received
 
 
 @pytest.mark.parametrize(
@@ -196,15 +196,15 @@
     await wait_until(
         lambda: all(len(e.live_peers()) >= 13 for e in fleet.values())
     )
-    taken = subscribe_all(fleet)
-    crossed = []
+    received = subscribe_all(fleet)
+    far_senders = []
     for exchange in fleet.values():
         take = exchange.handle_frame
 
         def count(link, frame, exchange=exchange, take=take):
             far = link.failure_domain != exchange.failure_domain
             if far and frame.publish and frame.publish.payload == b"load":
-                crossed.append(link.id)
+                far_senders.append(link.id)
             take(link, frame)
 
         exchange.handle_frame = count
@@ -218,11 +218,11 @@
     }
     others = fleet.keys() - {sender.own}
     wanted = {"all": others, "none": frozenset()}[reached]
-    await wait_until(lambda: all(taken[host] for host in wanted))
+    await wait_until(lambda: all(received[host] for host in wanted))
     await trio.sleep(0.05)
-    assert {host for host, payloads in taken.items() if payloads} == wanted
-    assert all(len(payloads) <= 1 for payloads in taken.values())
-    assert len(crossed) == (1 if wanted - near else 0)
+    assert {host for host, payloads in received.items() if payloads} == wanted
+    assert all(len(payloads) <= 1 for payloads in received.values())
+    assert len(far_senders) == (1 if wanted - near else 0)
 
 
 async def test_a_frame_that_is_sent_in_parts_arrives_whole(nursery):
@@ -231,8 +231,10 @@
     )
     one, two = fleet.values()
     await wait_until(lambda: one.live_peers() and two.live_peers())
-    taken = []
-    two.subscribe(Topic.LOAD_SAMPLES, lambda _, payload: taken.append(payload))
+    received = []
+    two.subscribe(
+        Topic.LOAD_SAMPLES, lambda _, payload: received.append(payload)
+    )
     link = next(iter(one.connector.links.values()))
     # While a control frame is queued, messages aren't sent at once.
     await wait_until(lambda: not link.control and not link.sending)
@@ -244,11 +246,11 @@
     link.send_heartbeat()
     await wait_until(lambda: not link.published and not link.unsent)
     one.publish(Topic.LOAD_SAMPLES, b"last")
-    await wait_until(lambda: taken and taken[-1] == b"last")
+    await wait_until(lambda: received and received[-1] == b"last")
     # Messages over the queue limit were dropped; the others arrived complete
     # and in order.
-    kept = [payload for payload in sent if payload in set(taken)]
-    assert taken == [*kept, b"last"]
+    kept = [payload for payload in sent if payload in set(received)]
+    assert received == [*kept, b"last"]
     assert len(kept) > 50
 
 
@@ -263,7 +265,7 @@
     await wait_until(
         lambda: all(len(e.live_peers()) >= 7 for e in fleet.values())
     )
-    taken = subscribe_all(fleet, Topic.TOPIC_RECORDS)
+    received = subscribe_all(fleet, Topic.TOPIC_RECORDS)
     sender = fleet[HostId("gateway-0")]
     sender.publish(Topic.TOPIC_RECORDS, b"ends", scope)
     wanted = {
@@ -272,9 +274,9 @@
         if exchange is not sender
         and (exchange.failure_domain == sender.failure_domain) is same_domain
     }
-    await wait_until(lambda: all(taken[host] for host in wanted))
+    await wait_until(lambda: all(received[host] for host in wanted))
     await trio.sleep(0.05)
-    assert {host for host, payloads in taken.items() if payloads} == wanted
+    assert {host for host, payloads in received.items() if payloads} == wanted
 
 
 @pytest.mark.parametrize(
@@ -302,7 +304,7 @@
         return connector.bounded and connector.chosen <= connector.links.keys()
 
     await wait_until(lambda: all(settled(e) for e in fleet.values()))
-    taken = subscribe_all(fleet)
+    received = subscribe_all(fleet)
     groups = fleet[HostId("gateway-0")].connector.groups
     members = max(groups.hosts.values(), key=len)
     sender = fleet[members[rank]]
@@ -315,10 +317,10 @@
         "all": others,
         "none": frozenset(),
     }[reached]
-    await wait_until(lambda: all(taken[host] for host in wanted))
+    await wait_until(lambda: all(received[host] for host in wanted))
     await trio.sleep(0.05)
-    assert {host for host, payloads in taken.items() if payloads} == wanted
-    assert all(len(payloads) <= 1 for payloads in taken.values())
+    assert {host for host, payloads in received.items() if payloads} == wanted
+    assert all(len(payloads) <= 1 for payloads in received.values())
 
 
 async def test_hosts_that_are_no_longer_chosen_are_not_taken_for_lost(nursery):
