--- a/agatetack/keyed/readers.py
+++ b/agatetack/keyed/readers.py
@@ -190,7 +190,7 @@
         return chosen.place
 
     def _find_place(self, topic: str) -> int | None:
-        if self.exchange.bounded:
+        if self.exchange.is_grouped:
             leaders = self.exchange.first_leaders()
             return _place(self.own, _best(topic, leaders, READING_LEADERS))
         domains: dict[FailureDomain, list[HostId]] = defaultdict(list)
--- a/agatetack/measure/rounds.py
+++ b/agatetack/measure/rounds.py
@@ -144,7 +144,7 @@
 
     def _probing_hosts(self) -> Sequence[Peer]:
         """Return the other hosts that probe the same targets."""
-        if self.exchange.bounded:
+        if self.exchange.is_grouped:
             return self.exchange.near_peers()
         return self.exchange.known_hosts()
 
--- a/agatetack/measure/test_rounds.py
+++ b/agatetack/measure/test_rounds.py
@@ -200,7 +200,7 @@
         self.domains = domains
 
     @property
-    def bounded(self):
+    def is_grouped(self):
         return True
 
     def live_peers(self):
--- a/agatetack/peers/connector.py
+++ b/agatetack/peers/connector.py
@@ -88,7 +88,7 @@
         links: The link with each connected peer.
         chosen: The chosen hosts, to which this host keeps links.
         missing: Hosts of `chosen` without a link, as last sent to the peers.
-        bounded: Whether the fleet is too large for a full mesh of links.
+        is_grouped: Whether the fleet is too large for a full mesh of links.
         groups: The groups of such a fleet, else None.
         group: This host's group.
         leaders: The current leaders of this group, the first leader first.
@@ -113,7 +113,7 @@
         self.links: dict[HostId, Link] = {}
         self.chosen: frozenset[HostId] = frozenset()
         self.missing: frozenset[HostId] = frozenset()
-        self.bounded = False
+        self.is_grouped = False
         self.groups: Groups | None = None
         self.group: GroupId | None = None
         self.leaders: Sequence[HostId] = ()
@@ -153,7 +153,7 @@
 
     def _choose_peers(self, nursery: trio.Nursery) -> None:
         domains = self.members.domains()
-        self.bounded = len(domains) > self.settings.max_peers
+        self.is_grouped = len(domains) > self.settings.max_peers
         domains[self.own] = self.owner.failure_domain
         dialable = {
             host: domain
@@ -177,7 +177,7 @@
 
     def _update_groups(self, domains: Mapping[HostId, FailureDomain]) -> None:
         """Compute the groups if the fleet is too large for a full mesh."""
-        if not self.bounded:
+        if not self.is_grouped:
             self.groups = None
             return
         if self.groups is None or self.groups.domains != domains:
@@ -192,7 +192,7 @@
 
     def _send_missing(self) -> None:
         missing = frozenset()
-        if not self.bounded:
+        if not self.is_grouped:
             missing = self.chosen - self.links.keys()
         if missing == self.missing:
             return
--- a/agatetack/peers/exchange.py
+++ b/agatetack/peers/exchange.py
@@ -128,7 +128,7 @@
         return self.live_peers()
 
     @property
-    def bounded(self) -> bool:
+    def is_grouped(self) -> bool:
         """Return whether the fleet is too large for a full mesh of links."""
         return False
 
--- a/agatetack/peers/mesh.py
+++ b/agatetack/peers/mesh.py
@@ -164,7 +164,7 @@
     def near_peers(self) -> Sequence[Peer]:
         """Return the live peers that `Scope.NEAR` reaches."""
         peers = self.live_peers()
-        if not self.bounded:
+        if not self.is_grouped:
             return peers
         return [
             peer for peer in peers if self.link_selector.is_in_group(peer.id)
@@ -176,7 +176,7 @@
         A host that this one chose as peer but has no live link with is not.
         """
         peers = {peer.id: peer for peer in self.live_peers()}
-        if not self.bounded:
+        if not self.is_grouped:
             return list(peers.values())
         for member in self.members.live():
             if member.id in peers or member.id in self.connector.chosen:
@@ -190,9 +190,9 @@
         return list(peers.values())
 
     @property
-    def bounded(self) -> bool:
+    def is_grouped(self) -> bool:
         """Return whether the fleet is too large for a full mesh of links."""
-        return self.connector.bounded
+        return self.connector.is_grouped
 
     @property
     def is_leader(self) -> bool:
@@ -268,7 +268,7 @@
     ) -> None:
         if links is None:
             links = self.connector.links.values()
-        floods = self.connector.bounded
+        floods = self.connector.is_grouped
         publish = self.relay.new_publish(topic, payload, floods)
         self._send_publish(publish, links)
 
--- a/agatetack/peers/reach.py
+++ b/agatetack/peers/reach.py
@@ -32,13 +32,13 @@
     def is_leader(self) -> bool:
         """Return whether this host forwards messages to its group."""
         connector = self.connector
-        return connector.bounded and self.own in connector.leaders
+        return connector.is_grouped and self.own in connector.leaders
 
     @property
     def is_first_leader(self) -> bool:
         """Return whether this host reports its group's targets to others."""
         connector = self.connector
-        return connector.bounded and self.own in connector.leaders[:1]
+        return connector.is_grouped and self.own in connector.leaders[:1]
 
     def first_leaders(self) -> Sequence[HostId]:
         """Return the first leader of each group; none without groups."""
@@ -81,12 +81,12 @@
         if topic not in ONCE_PER_DOMAIN_TOPICS:
             return links
         near = self.near_links()
-        if scope is Scope.NEAR and self.connector.bounded:
+        if scope is Scope.NEAR and self.connector.is_grouped:
             return near
         far = self._far_links(links)
         if scope is Scope.FAR:
             # In a small fleet `NEAR` already includes all hosts.
-            return far if self.connector.bounded else []
+            return far if self.connector.is_grouped else []
         return [*near, *far]
 
     def forwards_to_near(self, link: Link, publish: ttypes.Publish) -> bool:
@@ -101,14 +101,14 @@
             or publish.origin != link.id
         ):
             return False
-        if self.connector.bounded and (
+        if self.connector.is_grouped and (
             publish.topic in COMBINED_TOPICS or not self.is_first_leader
         ):
             return False
         return not self._is_near(link)
 
     def _is_near(self, link: Link) -> bool:
-        if self.connector.bounded:
+        if self.connector.is_grouped:
             return self.is_in_group(link.id)
         return self._is_in_domain(link)
 
@@ -117,7 +117,7 @@
 
     def _far_links(self, links: Sequence[Link]) -> list[Link]:
         """Return the links over which load is sent beyond the near hosts."""
-        if self.connector.bounded:
+        if self.connector.is_grouped:
             far = [link for link in links if not self._is_near(link)]
             return far if self.is_first_leader else []
         return self._one_link_per_domain(links)
--- a/agatetack/peers/test_mesh.py
+++ b/agatetack/peers/test_mesh.py
@@ -301,7 +301,9 @@
 
     def settled(exchange):
         connector = exchange.connector
-        return connector.bounded and connector.chosen <= connector.links.keys()
+        return (
+            connector.is_grouped and connector.chosen <= connector.links.keys()
+        )
 
     await wait_until(lambda: all(settled(e) for e in fleet.values()))
     received = subscribe_all(fleet)
@@ -340,7 +342,9 @@
 
     def settled(exchange):
         connector = exchange.connector
-        return connector.bounded and connector.chosen <= connector.links.keys()
+        return (
+            connector.is_grouped and connector.chosen <= connector.links.keys()
+        )
 
     await wait_until(lambda: all(settled(e) for e in fleet))
     # Unneeded links were closed, and no host marked another one as lost because
