--- a/bench/capacity/held.py
+++ b/bench/capacity/held.py
@@ -17,7 +17,7 @@
 from agatetack.settings.defaults import default_settings
 from agatetack.targets.connection import open_connection
 from agatetack.targets.registry import TargetRegistry
-from agatetack.targets.state import RECENT_LATENCIES, TargetState
+from agatetack.targets.state import MAX_RECENT_LATENCIES, TargetState
 from agatetack.testing.peer_fleet import start_fleet
 from agatetack.testing.targets import listed_target, make_request, make_route
 from bench.capacity.slopes import Slope, new_slope
@@ -49,7 +49,7 @@
     registry.update(listed)
     fresh = traced_bytes()
     for target in registry.by_id.values():
-        target.recent.extend(n / 1e3 for n in range(RECENT_LATENCIES))
+        target.recent.extend(n / 1e3 for n in range(MAX_RECENT_LATENCIES))
     known = traced_bytes()
     return [
         new_slope(
@@ -61,7 +61,7 @@
         new_slope(
             "target_bytes",
             (known - before) / TARGETS,
-            f"the same with its {RECENT_LATENCIES} latest latencies",
+            f"the same with its {MAX_RECENT_LATENCIES} latest latencies",
             COMMAND,
         ),
     ]
@@ -202,7 +202,7 @@
     # What waits to be looked into is taken within `confirm_seconds`.
     with contextlib.suppress(trio.WouldBlock):
         while True:
-            tracker.losses_out.receive_nowait()
+            tracker.loss_receiver.receive_nowait()
 
 
 async def fingerprint_bytes() -> float:
