--- a/agatetack/platform/bounds.py
+++ b/agatetack/platform/bounds.py
@@ -1,4 +1,4 @@
-"""Lay the bounds that the platform sets over the settings."""
+"""Apply the bounds that the platform sets to the settings."""
 
 import dataclasses
 from collections.abc import Sequence
@@ -8,35 +8,36 @@
 from agatetack.settings.model import Settings
 
 KILL_MARGIN_SECONDS = 0.4
-"""Kept free before the platform kills a process that is stopping; closing
-connections and writing the last log lines takes some of it."""
+"""Reserve between the end of the drain and the time at which the platform
+kills the process, for closing connections and writing the last log lines."""
 
 NOTICE_SHARE = 0.6
-"""Most of the time to stop in which new connections are still taken; the rest
-is for closing connections and for requests under way."""
+"""Largest part of the drain time in which new connections are still accepted;
+the rest is for closing connections and finishing requests in flight."""
 
 PROBE_SHARE = 0.25
-"""Share of the allowed probes that is used, as probes cost the targets."""
+"""Share of the allowed probe rate that is used at most, because each probe
+costs the target work."""
 
 
 class BoundsError(UserError):
-    """A bound can't be read."""
+    """A bound has a wrong form or an unreadable value."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Bounds:
-    """The bounds that the project goes by; None where the platform sets none.
+    """The platform's bounds that are used; None where it sets none.
 
     Attributes:
-        stop_seconds: From the signal to stop until the process is killed.
-        repeat_ratio: Attempts beyond the first, as a share of a service's
+        stop_seconds: Time from the stop signal until the process is killed.
+        repeat_ratio: Maximum ratio of attempts after the first to a service's
             requests.
-        repeat_slack: How many more there may be in one window.
-        repeat_window_seconds: The length of that window.
-        probes_per_second: Probes that one target may get from all hosts.
-        cold_rate_ratio: Requests that a cold target may get from all hosts in
-            one second, as a multiple of what its service says it takes.
-        cold_rate_slack: How many more there may be.
+        repeat_slack: Number of attempts allowed in a window beyond that ratio.
+        repeat_window_seconds: Length of the window.
+        probes_per_second: Maximum probe rate of one target, over all hosts.
+        cold_rate_ratio: Maximum request rate of a cold target over all hosts,
+            as a multiple of the warm-up rate that its service states.
+        cold_rate_slack: Number of requests allowed beyond that rate.
     """
 
     stop_seconds: float | None = None
@@ -57,14 +58,15 @@
     "cold_over": ("cold_rate_ratio", float),
     "cold_slack": ("cold_rate_slack", float),
 }
-"""Field and reader of each bound, by the platform's name for it."""
+"""Field of `Bounds` and parser of each bound, by the platform's name."""
 
 
 def read_bounds(texts: Sequence[str]) -> Bounds:
-    """Return the bounds in `texts`; names that are not used are passed over.
+    """Parse `NAME=VALUE` texts; bounds that are not used are ignored.
 
     Raises:
-        BoundsError: A bound that is used has no readable figure.
+        BoundsError: A text is not of this form, or the value of a bound that
+            is used can't be parsed.
     """
     found = {}
     for text in texts:
@@ -84,7 +86,7 @@
 
 
 def bounded(settings: Settings) -> Settings:
-    """Return `settings` with the platform's bounds in their places."""
+    """Return a copy of `settings` with the platform's bounds applied."""
     bounds = read_bounds(settings.platform.store.bounds)
     lifecycle, attempts = settings.lifecycle, settings.attempts
     measure = settings.measure
--- a/agatetack/platform/configuration.py
+++ b/agatetack/platform/configuration.py
@@ -1,4 +1,4 @@
-"""Read the configuration that operators write to the platform's store."""
+"""Decode the configuration that operators write to the platform's store."""
 
 from collections.abc import Mapping, Sequence
 
@@ -31,20 +31,20 @@
     "non_idempotent": RequestClass.ONCE,
     "download": RequestClass.WHOLE,
 }
-"""What each of the platform's kinds of route is here."""
+"""Request class for each of the platform's route types."""
 
 TEAM = TeamId("platform")
-"""The platform's routes belong to no team of their own."""
+"""Team of all routes, because the platform's routes name none."""
 
 
 class ConfigurationDecoder(DocumentDecoder):
-    """Reads the platform's configuration, as JSON."""
+    """Decodes the platform's configuration, which is JSON."""
 
     def decode(self, content: bytes) -> RouteDocument:
         """Return the document in `content`.
 
         Raises:
-            BadDocument: It holds none.
+            BadDocument: `content` is not a valid configuration.
         """
         try:
             fields = orjson.loads(content)
@@ -65,7 +65,7 @@
 
 
 class EvacuationNames(EvacuationKeys):
-    """Reads the names of the platform's records that evacuate a zone."""
+    """Parses the keys of the platform's records that evacuate a zone."""
 
     def domain(self, key: str) -> FailureDomain | None:
         """Return the failure domain that the record `key` evacuates, if any."""
@@ -87,7 +87,8 @@
         path_prefix=fields["path_prefix"],
         host=fields["host"].lower(),
         timeout_seconds=_optional_seconds(fields, "timeout"),
-        # Named for servers there; each attempt here goes to another target.
+        # The platform limits the number of servers tried. This is the same
+        # as a limit on attempts, as each attempt goes to another target.
         max_attempts=int(fields.get("max_attempts") or 0),
         target_latency_seconds=_optional_seconds(fields, "target_latency"),
         priority=int(fields.get("priority") or 0),
@@ -98,7 +99,7 @@
 
 def _read_regions(names: Sequence[str] | None) -> tuple[Region, ...]:
     if isinstance(names, str):
-        raise TypeError("allowed_regions is no list")
+        raise TypeError("allowed_regions must be a list")
     return tuple(Region(str(name)) for name in names or ())
 
 
--- a/agatetack/platform/figures.py
+++ b/agatetack/platform/figures.py
@@ -1,17 +1,17 @@
-"""Read figures as the platform writes them."""
+"""Parse durations in the platform's notation."""
 
 UNITS = {"ms": 0.001, "s": 1.0}
-"""Seconds in each unit of a time; the longer name is tried first."""
+"""Seconds in each unit. `ms` has to come first, as it also ends in `s`."""
 
 
 def read_seconds(text: str) -> float:
-    """Return the seconds in a time such as `1500ms` or `2.5s`.
+    """Return the seconds in a duration such as `1500ms` or `2.5s`.
 
     Raises:
-        ValueError: It is no such time.
+        ValueError: `text` is not a duration.
     """
     if not isinstance(text, str):
-        raise ValueError(f"{text!r} is no time")
+        raise ValueError(f"{text!r} is not a duration")
     for unit, seconds in UNITS.items():
         if text.endswith(unit):
             return float(text.removesuffix(unit)) * seconds
--- a/agatetack/platform/load_header.py
+++ b/agatetack/platform/load_header.py
@@ -1,4 +1,4 @@
-"""Read the platform's load report, which stands in one header."""
+"""Parse the platform's load report, which is sent in one header."""
 
 from collections.abc import Mapping
 
@@ -13,17 +13,17 @@
 USUAL_PERCENT = 100.0
 
 LEAVING = b"1"
-"""What the header says that a leaving target adds to its answers."""
+"""Value of the header that a leaving target adds to its answers."""
 
 LONGEST_WARM_UP_MS = 3_600_000.0
-"""Longest time that a target is believed to need to warm up."""
+"""Longest warm-up time that is accepted; a longer one counts as unreadable."""
 
 
 class ListLoadReader(LoadReader):
-    """Reads running, waiting, slots and slowness in percent, by commas."""
+    """Parses `running,waiting,slots` and an optional slowness in percent."""
 
     def __init__(self, settings: Settings):
-        """Read the header that `settings` name."""
+        """Create a reader of the headers that `settings` name."""
         names = settings.targets.headers
         self.name = names.load.encode()
         self.warm_up_name = (names.warm_up_ms or "").encode()
@@ -31,7 +31,7 @@
         self.names = frozenset((self.name,))
 
     def read(self, headers: Mapping[bytes, bytes]) -> ParsedLoad:
-        """Return the report that `headers` hold."""
+        """Return the load report in `headers`."""
         state = self._state(headers)
         try:
             figures = [
@@ -58,9 +58,9 @@
         return ReportedState.DRAINING if leaving else None
 
     def _warm_up_seconds(self, headers: Mapping[bytes, bytes]) -> float | None:
-        """Return how long the target still warms up, or None if unreadable.
+        """Return the warm-up time that remains, or None if unreadable.
 
-        A target that does not say so has no need to.
+        A target that does not send the header is warm.
         """
         try:
             left = float(headers.get(self.warm_up_name, b"0"))
--- a/agatetack/platform/registrations.py
+++ b/agatetack/platform/registrations.py
@@ -1,4 +1,4 @@
-"""Read what servers write of themselves to the platform's store."""
+"""Decode the entries by which servers register in the platform's store."""
 
 import ipaddress
 import re
@@ -22,23 +22,25 @@
 STATES = {"ready": HostState.LIVE, "draining": HostState.LEAVING}
 
 MAX_ENTRY_BYTES = 16_384
-"""Longest entry that is read; a server's own has some 200 bytes."""
+"""Longest entry that is decoded; a usual one has about 200 bytes."""
 
 MAX_SLOTS = 10_000
-"""Most slots that are believed; more would take any load for none."""
+"""Most slots that a server may state. With a larger number, any load would
+look like none."""
 
 MAX_WARM_UP_SECONDS = 3600.0
-"""Longest time that a server may say that it needs to warm up."""
+"""Longest warm-up time that a server may state."""
 
 KEY = re.compile(r"[!-~]{1,200}")
-"""Keys that can stand in a header, as each request names its server."""
+"""Valid keys: those that can be sent in a header, because each request names
+its server in one."""
 
 Text = Annotated[str, Meta(min_length=1, max_length=200)]
 Number = Annotated[int, Meta(ge=0, le=2**63 - 1)]
 
 
 class ServerInfo(msgspec.Struct):
-    """What does not change while a server runs."""
+    """The part of an entry that is fixed while the server runs."""
 
     service: Text
     version: Text
@@ -47,7 +49,7 @@
 
 
 class ServerStatus(msgspec.Struct):
-    """What a server reports of itself again and again."""
+    """The part of an entry that the server updates regularly."""
 
     state: Literal["ready", "draining"]
     sequence: Number
@@ -60,8 +62,8 @@
     """One server's entry; types are exact, and unknown fields are ignored.
 
     Attributes:
-        address: Where it is reached, as `ip:port`.
-        born: When its process started, in Unix ms; 0 if it does not say.
+        address: Address of the server, as `ip:port`.
+        born: Start time of its process in Unix ms; 0 if not stated.
     """
 
     address: Annotated[str, Meta(pattern=r"^[0-9.]{7,15}:[0-9]{1,5}$")]
@@ -74,13 +76,13 @@
 
 
 class ServerDecoder(RegistrationDecoder):
-    """Reads the platform's entries of servers, as JSON."""
+    """Decodes the platform's server entries, which are JSON."""
 
     def decode(self, key: str, content: bytes) -> ListedTarget:
         """Return the target registered under `key`.
 
         Raises:
-            BadRegistration: `content` registers none.
+            BadRegistration: `key` or `content` is not valid.
         """
         try:
             return _read_target(key, content)
@@ -91,18 +93,18 @@
 
 
 def _read_target(key: str, content: bytes) -> ListedTarget:
-    """Return the target; raises ValueError for whatever is not one."""
+    """Return the target; raises ValueError if the entry is not valid."""
     if not KEY.fullmatch(key):
-        raise ValueError("the key can't name a server")
+        raise ValueError("the key is not valid as a server name")
     if len(content) > MAX_ENTRY_BYTES:
-        raise ValueError(f"the entry has {len(content)} bytes")
+        raise ValueError(f"the entry is too long: {len(content)} bytes")
     entry = ENTRIES.decode(content)
     ip, _, port = entry.address.rpartition(":")
     left = read_seconds(entry.status.warmup_left)
     if left > MAX_WARM_UP_SECONDS:
-        raise ValueError(f"{entry.status.warmup_left} are too long to warm up")
+        raise ValueError(f"warmup_left is too long: {entry.status.warmup_left}")
     if not 1 <= int(port) <= 65535:
-        raise ValueError(f"{port} is no port")
+        raise ValueError(f"{port} is not a valid port")
     return ListedTarget(
         id=HostId(key),
         role=HostRole.TARGET,
--- a/agatetack/platform/store_client.py
+++ b/agatetack/platform/store_client.py
@@ -1,4 +1,4 @@
-"""Call the platform's metadata store over HTTP."""
+"""Client of the platform's metadata store, over HTTP."""
 
 import base64
 import dataclasses
@@ -29,17 +29,19 @@
 
 LENGTH = struct.Struct(">I")
 READ_HEAD = struct.Struct(">QQ")
-"""Before the records of a read: the end, and the first offset still kept."""
+"""Header of a read's body: the topic's end offset and the first offset that is
+still retained. The records follow."""
 
 PARTITION = 0
-"""Keyed topics have only this one."""
+"""The only partition of a keyed topic."""
 
 MAX_PAGES = 1000
-"""Pages of 500 keys read at most; more are an answer that never ends."""
+"""Most pages, of 500 keys each, that are read for one listing. It ends the
+loop if the store always reports that another page follows."""
 
 
 def keyed_name(name: str) -> str:
-    """Return what the store calls a keyed topic of the project's own."""
+    """Return the store's name for one of the load balancer's own topics."""
     return f"keyed.{name}"
 
 
@@ -50,7 +52,7 @@
     Attributes:
         status: The HTTP status.
         body: The whole body.
-        generation: The generation of the store that it is of.
+        generation: The generation of the store that sent it.
     """
 
     status: int
@@ -59,14 +61,14 @@
 
 
 class StoreClient:
-    """The store at the address that the settings name.
+    """Client of the store at the address in the settings.
 
     Attributes:
-        generations: What the store's replies say of its generation.
+        generations: Tracks the generation that the store's replies report.
     """
 
     def __init__(self, settings: Settings, generations: StoreGenerations):
-        """Make a client; it connects when it is first used."""
+        """Create a client; it connects on the first call."""
         store = settings.platform.store
         self.generations = generations
         self.caller = PlatformCaller(
@@ -85,10 +87,10 @@
         deadline: Deadline,
         body: bytes = b"",
     ) -> StoreReply:
-        """Call the store once.
+        """Send one request to the store, without a retry.
 
         Raises:
-            TopicUnavailable: No answer came.
+            TopicUnavailable: No complete reply arrived.
         """
         text = urllib.parse.urlencode(query)
         request = PlatformRequest(
@@ -108,7 +110,7 @@
     """One keyed topic of the store."""
 
     def __init__(self, client: StoreClient, name: str):
-        """Use the topic called `name` there."""
+        """Create a client of the topic `name`."""
         self.client = client
         self.name = name
 
@@ -116,7 +118,8 @@
         """Return the newest record of each key.
 
         Raises:
-            TopicRestored: The store lost records between two pages.
+            TopicRestored: The store was restored to an earlier state, and so
+                lost records, between two pages.
             TopicUnavailable: They could not be read before `deadline`.
         """
         records: list[KeyedRecord] = []
@@ -137,21 +140,25 @@
                 raise TopicRestored
             part = _read_newest(reply.body)
             records += part.page.records
-            # Later pages may hold later records, which are read again.
+            # A later page may already contain records behind the end of an
+            # earlier one. The smallest end makes `read` return those again,
+            # so that no record is missed.
             end = part.page.end if end is None else min(end, part.page.end)
             if not part.more:
                 return TopicPage(records, LogOffset(end), reply.generation)
             after = records[-1].key
-        raise TopicUnavailable("the pages do not end")
+        raise TopicUnavailable("the store reports too many pages")
 
     async def read(
         self, first: LogOffset, wait_until: Deadline, deadline: Deadline
     ) -> TopicPage:
-        """Return the records from `first` on, as soon as there is one.
+        """Return the records from offset `first` on.
+
+        If there are none yet, waits for one until `wait_until`.
 
         Raises:
-            TopicTruncated: `first` is no longer kept.
-            TopicUnavailable: Nothing could be read before `deadline`.
+            TopicTruncated: The record at `first` is no longer retained.
+            TopicUnavailable: The topic could not be read before `deadline`.
         """
         wait = max(0.0, wait_until - trio.current_time())
         query = {
@@ -172,10 +179,10 @@
     async def append_all(
         self, values: Mapping[str, bytes], deadline: Deadline
     ) -> LogOffset:
-        """Append a record for each key, all or none, and return the first.
+        """Append one record for each key atomically; return the first offset.
 
         Raises:
-            TopicUnavailable: They are not known to stand in the topic.
+            TopicUnavailable: The append failed, or its outcome is unknown.
         """
         body = b"".join(_record(key, value) for key, value in values.items())
         reply = await self.client.call(
@@ -192,15 +199,15 @@
         try:
             return LogOffset(int(orjson.loads(reply.body)["offset"]))
         except (KeyError, TypeError, ValueError) as error:
-            raise TopicUnavailable(f"odd answer: {error}", True) from error
+            raise TopicUnavailable(f"malformed reply: {error}", True) from error
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class _NewestPart:
-    """A page of the newest records.
+    """One page of a listing of the newest records.
 
     Attributes:
-        page: The records, and the topic's end when it was written.
+        page: The records, and the topic's end when the store wrote the page.
         more: Whether another page follows.
     """
 
@@ -215,9 +222,9 @@
 
 
 def _key(value: object) -> str:
-    """Return a record's key; raises ValueError for what is none."""
+    """Return a record's key; raises ValueError if it is not a string."""
     if not isinstance(value, str):
-        raise ValueError(f"{value!r} is no key")
+        raise ValueError(f"{value!r} is not a key")
     return value
 
 
@@ -235,7 +242,7 @@
         page = TopicPage(records, LogOffset(int(fields["end"])))
         return _NewestPart(page, bool(fields["more"] and records))
     except (KeyError, TypeError, ValueError) as error:
-        raise TopicUnavailable(f"odd answer: {error}") from error
+        raise TopicUnavailable(f"malformed reply: {error}") from error
 
 
 def _read_records(
@@ -245,8 +252,9 @@
         READ_HEAD.unpack_from(body)
         records = list(_split_records(body, first))
     except (struct.error, IndexError, UnicodeDecodeError) as error:
-        raise TopicUnavailable(f"odd answer: {error}") from error
-    # The end said first may lie behind what one answer holds.
+        raise TopicUnavailable(f"malformed reply: {error}") from error
+    # The end offset in the header may be larger than that of the records
+    # here, because one reply need not contain all records up to the end.
     end = LogOffset(first + len(records))
     return TopicPage(records, end, generation)
 
@@ -258,7 +266,7 @@
         position += LENGTH.size
         record = body[position : position + length]
         if len(record) < length:
-            raise IndexError("a record is cut")
+            raise IndexError("truncated record")
         position += length
         key_end = 1 + record[0]
         yield KeyedRecord(
--- a/agatetack/platform/test_bounds.py
+++ b/agatetack/platform/test_bounds.py
@@ -1,4 +1,4 @@
-"""Test how the platform's bounds come into the settings."""
+"""Test that the platform's bounds are applied to the settings."""
 
 import pytest
 
--- a/agatetack/platform/test_platform_words.py
+++ b/agatetack/platform/test_platform_words.py
@@ -1,4 +1,4 @@
-"""Test that the platform's names stand in its adapter alone."""
+"""Test that the platform's names occur only in its adapter."""
 
 import pathlib
 import re
@@ -35,11 +35,12 @@
     "probes_per_s\\b",
     "op/config",
 )
-"""Names of headers, topics, kinds, fields, calls and bounds."""
+"""The platform's names of headers, topics, route types, fields, calls and
+bounds, as regular expressions except that a dot matches only a dot."""
 
 
 def product_sources():
-    """Give the product's modules, without tests, stand-ins and the adapter."""
+    """Yield modules, but no tests, stand-ins, adapter or generated code."""
     for path in sorted((ROOT / "agatetack").rglob("*.py")):
         outside = not any(
             folder in path.parents for folder in (ADAPTER, STAND_INS, GENERATED)
--- a/agatetack/platform/test_records.py
+++ b/agatetack/platform/test_records.py
@@ -1,4 +1,4 @@
-"""Test how the platform's records and headers become the product's types."""
+"""Test the decoding of the platform's records and headers."""
 
 import contextlib
 import json
@@ -279,7 +279,8 @@
         (None, 0.0),
         (b"0", 0.0),
         (b"2900", 2.9),
-        # What can't be read says nothing, and not that the server is warm.
+        # An unreadable value means that the time is unknown, not that the
+        # server is warm.
         (b"", None),
         (b"soon", None),
         (b"-1", None),
--- a/agatetack/platform/test_store_client.py
+++ b/agatetack/platform/test_store_client.py
@@ -1,4 +1,4 @@
-"""Test the store's client against the stand-in of the store."""
+"""Test the client of the store against a fake store."""
 
 import contextlib
 
@@ -178,7 +178,7 @@
         with pytest.raises(TopicUnavailable) as caught:
             await calls[call]()
         assert caught.value.may_have_run is may_have_run
-        # The store is used again at once when it is back.
+        # The client uses the store again as soon as it is back.
         store.set_fault(None)
         await topic.append("b", b"2", soon())
         assert "b" in values(await topic.newest(soon()))
