--- a/agatetack/__main__.py
+++ b/agatetack/__main__.py
@@ -3,18 +3,17 @@
 import sys
 
 DAEMON = ["gateway"]
-"""The command line of a daemon whose settings file a variable names.
+"""Command line of a daemon whose settings file an environment variable names.
 
-It is not parsed, as importing the parser and the operators' commands takes
-0.5 of 1.2 s until a host serves again after it was killed (measured with
-`python -X importtime`).
+It bypasses the command line parser. Importing the parser and the operators'
+commands takes 0.5 of the 1.2 s in which a killed host serves again.
 """
 
 
 def main() -> None:
-    """Run the command line, or the daemon at once."""
+    """Run the daemon directly, or else parse the command line."""
     if sys.argv[1:] == DAEMON:
-        # Before anything else, as loading the rest takes most of a second.
+        # These come first, as loading the rest takes most of a second.
         from agatetack.collector import hold_collector
         from agatetack.early_listener import listen_early
 
--- a/agatetack/clock.py
+++ b/agatetack/clock.py
@@ -1,7 +1,7 @@
-"""Tell monotonic time for deadlines and wall time for records.
+"""Provide monotonic time for deadlines and wall time for records.
 
-Deadlines live on trio's clock, so tests can drive them with
-`trio.testing.MockClock` and a jump of the wall clock moves none of them.
+Deadlines use trio's clock, so that a jump of the wall clock doesn't move them
+and tests can control them with `trio.testing.MockClock`.
 """
 
 import abc
@@ -33,7 +33,7 @@
 
 
 class FixedClock(Clock):
-    """A wall clock for tests, moved only by hand."""
+    """A wall clock for tests that only changes when it is set."""
 
     def __init__(self, wall: float = 1_700_000_000.0):
         """Start at `wall`, in seconds since 1970."""
--- a/agatetack/collector.py
+++ b/agatetack/collector.py
@@ -3,34 +3,36 @@
 import gc
 
 YOUNG_THRESHOLD = 2_000
-"""Net allocations before a pass over the youngest objects, some 0.8 ms.
+"""Net allocations that start a collection of the youngest generation, which
+takes about 0.8 ms.
 
-Reference counts free what a request leaves, so passes come only while the
-bounded histories of the host fill up.
+Reference counting frees the objects of a finished request, so collections
+only run while the bounded histories of the host fill up.
 """
 
 MIDDLE_THRESHOLD = 50
-"""Passes over the youngest before one over the next generation."""
+"""Collections of the youngest generation before one of the middle one."""
 
 OLD_THRESHOLD = 100
-"""Passes over that one before a full pass."""
+"""Collections of the middle generation before a full one."""
 
 
 def hold_collector() -> None:
-    """Collect nothing while the program loads.
+    """Turn the collector off while the program loads.
 
-    What is loaded stays, so that the passes free next to nothing: without
-    them loading takes 3 % fewer instructions (callgrind).
+    Loaded modules stay in memory, so a collection would free almost nothing.
+    Without collections, loading takes 3 % fewer instructions (callgrind).
     """
     gc.disable()
 
 
 def tune_collector() -> None:
-    """Set the collector up for a daemon that has started.
+    """Configure the collector for a daemon that has started.
 
-    What was loaded until now lives as long as the process, so it is taken out
-    of every later pass: a full pass over it takes some 25 ms, which a request
-    would wait for. One now would free 1.3 MB, and callers wait for the start.
+    All objects loaded so far live as long as the process, so they are
+    excluded from later collections. A full collection that included them
+    would delay requests by about 25 ms. None runs here first: it would free
+    only 1.3 MB, and callers are waiting for the start.
     """
     gc.freeze()
     gc.set_threshold(YOUNG_THRESHOLD, MIDDLE_THRESHOLD, OLD_THRESHOLD)
--- a/agatetack/commands.py
+++ b/agatetack/commands.py
@@ -131,7 +131,7 @@
 
 
 def command_name(command: Callable[..., int]) -> str:
-    """Return how a command is written on the command line."""
+    """Return a command's name on the command line."""
     return command.__name__.replace("_", "-")
 
 
@@ -139,13 +139,17 @@
     """Run one command and exit with its code.
 
     Args:
-        arguments: What follows the program's name; else the process's own.
+        arguments: The arguments after the program's name; `sys.argv[1:]` if
+            None.
     """
     sys.exit(run(sys.argv[1:] if arguments is None else arguments))
 
 
 def run(arguments: Sequence[str]) -> int:
-    """Run one command; return 0, 1 for findings or a refusal, 2 for usage."""
+    """Run one command and return its exit status.
+
+    It is 0 for success, 1 for findings or a refusal, 2 for wrong usage.
+    """
     try:
         return defopt.run(
             list(COMMANDS),
--- a/agatetack/daemon.py
+++ b/agatetack/daemon.py
@@ -1,4 +1,4 @@
-"""Run one host as a daemon: serve, answer operators, drain when told."""
+"""Run one host as a daemon: serve callers and operators, drain on a stop."""
 
 import dataclasses
 
@@ -16,7 +16,7 @@
 from agatetack.settings.model import Settings
 
 CLOSE_SECONDS = 1.0
-"""Longest time for closing the platform's connections at the end."""
+"""Longest time for closing the connections to the platform on exit."""
 
 log = PartLog("daemon")
 
@@ -34,13 +34,13 @@
     gateway: Gateway,
     task_status: trio.TaskStatus[HostPorts] = trio.TASK_STATUS_IGNORED,
 ) -> DrainReport:
-    """Serve callers and operators until a stop is wished, then drain.
+    """Serve callers and operators until a stop is requested, then drain.
 
-    The ports are reported once all listen. Operators are answered until the
+    The ports are reported once all listen. Operators are served until the
     end of the drain, so that they can watch it.
 
     Returns:
-        What was cut.
+        The result of the drain, including the requests that were cut.
     """
     async with trio.open_nursery() as nursery:
         ports = await nursery.start(gateway.run)
--- a/agatetack/daemon_parts.py
+++ b/agatetack/daemon_parts.py
@@ -1,4 +1,4 @@
-"""Do what every kind of daemon does: take signals, count lost log lines."""
+"""Parts of both daemons: handle signals, and count dropped log lines."""
 
 import trio
 
@@ -8,14 +8,14 @@
 
 
 async def forward_signals(stops: trio.MemorySendChannel[int]) -> None:
-    """Take the system's signals for wishes to stop; runs for ever."""
+    """Send each stop signal to `stops` as a stop request; never returns."""
     with trio.open_signal_receiver(*STOP_SIGNALS) as signals:
         async for signal in signals:
             await stops.send(signal)
 
 
 def count_dropped_lines(metrics: Metrics) -> None:
-    """Count each log line that is not written."""
+    """Count each dropped log line in `metrics`."""
     count_drops(
         lambda reason: metrics.dropped.inc(
             {"part": "logs", "reason": reason.value}
--- a/agatetack/decisions.py
+++ b/agatetack/decisions.py
@@ -1,9 +1,9 @@
-"""Write one log line for each decision, with what it was decided by.
+"""Log each decision of a host together with its inputs.
 
-Decisions about a request are held with it and written when it ends: all of
-them if it failed, was late or was sent more than once, and a sample of the
-others. So the volume is bounded while each failure can be explained.
-Decisions about what the host believes are written at once.
+Decisions about a request are buffered and written when the request ends: all
+of them if it failed, was late or was sent more than once, and a sample
+otherwise. This bounds the volume, while each failure can be explained.
+Decisions that change the host's own state are written at once.
 """
 
 import dataclasses
@@ -19,13 +19,14 @@
 from agatetack.logs import limiter
 
 MOST_HELD = 64
-"""Decisions held for one request; later ones are only counted."""
+"""Decisions buffered for one request; further ones are only counted."""
 
 FIRST_SAMPLES = 5
-"""Requests that went well of which the decisions are written, in a second."""
+"""Successful requests per second whose decisions are written."""
 
 MOST_FAILED_LINES = 400
-"""Lines about failed requests written in one second; more are counted."""
+"""Lines about failed requests written per second; the requests whose lines
+don't fit are only counted."""
 
 WINDOW_SECONDS = 1.0
 
@@ -35,10 +36,10 @@
     """One decision about a request.
 
     Attributes:
-        part: The part that decided.
-        event: What was decided.
-        wall: When, in seconds since 1970.
-        fields: What it was decided by.
+        part: The component that decided.
+        event: Name of the decision.
+        wall: Wall time of the decision, in seconds since 1970.
+        fields: The inputs of the decision and its outcome.
     """
 
     part: str
@@ -52,8 +53,9 @@
     """The decisions about one request, oldest first.
 
     Attributes:
-        decisions: Those that are held.
-        left_out: Decisions beyond what is held.
+        decisions: The buffered decisions.
+        left_out: Number of decisions that were dropped, as the buffer was
+            full.
     """
 
     decisions: list[Decision] = dataclasses.field(default_factory=list)
@@ -61,27 +63,27 @@
 
 
 class Importance(enum.Enum):
-    """Whether a request's decisions are wanted."""
+    """Whether all requests' decisions are written, or only a sample."""
 
     FAILED = "failed"
     USUAL = "usual"
 
 
 class DecisionSwitch:
-    """Whether decisions are written, and how many may still be.
+    """Turns decision logs on or off and limits their rate.
 
     Attributes:
-        enabled: Whether they are written at all.
+        enabled: Whether decisions are written at all.
     """
 
     def __init__(self) -> None:
-        """Write nothing until told to."""
+        """Start disabled."""
         self.enabled = False
         self.window_ends = 0.0
         self.left: dict[Importance, int] = {}
 
     def take(self, importance: Importance, lines: int) -> bool:
-        """Return whether a story of `lines` lines may be written now."""
+        """Return whether a trace of `lines` lines may be written now."""
         now = time.monotonic()
         if now >= self.window_ends:
             self.window_ends = now + WINDOW_SECONDS
@@ -98,27 +100,27 @@
 
 
 switch = DecisionSwitch()
-"""Shared by all parts; `set_up_decisions` turns it on."""
+"""Shared by all components; `set_up_decisions` turns it on."""
 
 
 def set_up_decisions(enabled: bool) -> None:
-    """Have decisions written from now on, or not."""
+    """Turn decision logs on or off."""
     switch.enabled = enabled
 
 
 class DecisionLog:
-    """The decisions of one part."""
+    """The decision log of one component."""
 
     def __init__(self, part: str):
-        """Name the part."""
+        """Create the log of the component named `part`."""
         self.part = part
 
     def note(self, event: str, **fields: object) -> None:
-        """Write a change of what the host believes, or of its state.
+        """Write a change of the host's state or of its view of others.
 
         Args:
-            event: What changed.
-            **fields: What it was decided by, and the outcome.
+            event: Name of the change.
+            **fields: The inputs of the decision, and its outcome.
         """
         if not switch.enabled:
             return
@@ -130,7 +132,7 @@
         _write(self.part, event, fields)
 
     def held(self, story: Story, event: str, **fields: object) -> None:
-        """Hold a decision about a request until the request ends."""
+        """Buffer a decision about a request until the request ends."""
         if not switch.enabled:
             return
         if len(story.decisions) >= MOST_HELD:
@@ -149,9 +151,9 @@
 
         Args:
             story: The decisions.
-            importance: Whether all are wanted, or a sample.
+            importance: Whether the request failed or is subject to sampling.
             request: The request's id.
-            **fields: How it ended.
+            **fields: The result of the request.
         """
         if not switch.enabled:
             return
@@ -166,7 +168,7 @@
 
 
 def age(at: float | None) -> float | None:
-    """Return how old something of time `at` is, in ms; None if not known."""
+    """Return the time since `at` in ms; None if `at` is unknown."""
     if at is None or math.isinf(at):
         return None
     return round((trio.current_time() - at) * 1000, 1)
--- a/agatetack/demo.py
+++ b/agatetack/demo.py
@@ -1,4 +1,4 @@
-"""Run the whole path in one process and print what became of requests."""
+"""Run platform, targets and gateways in one process and print the results."""
 
 import collections
 import contextlib
@@ -58,13 +58,13 @@
 
 @dataclasses.dataclass(slots=True)
 class ClassResult:
-    """What became of the requests of one class.
+    """The results of the requests of one class.
 
     Attributes:
         name: The class.
         statuses: Answers by HTTP status.
         reasons: Refusals by reason.
-        seconds: Time to the whole answer of each request.
+        seconds: Time to the complete answer of each request.
     """
 
     name: str
@@ -88,9 +88,9 @@
     """A platform, targets and gateways in one process.
 
     Attributes:
-        token: The operator's token; it exists in memory only.
-        gateways: The hosts under show.
-        ports: Where each of them listens.
+        token: The operator's token; it only exists in memory.
+        gateways: The hosts.
+        ports: The ports on which each of them listens.
         targets: The fake targets.
     """
 
@@ -102,7 +102,7 @@
 
 @contextlib.asynccontextmanager
 async def running_demo() -> AsyncIterator[Demo]:
-    """Start platform, targets and gateways on ports the kernel chooses."""
+    """Start platform, targets and gateways on ports that the kernel picks."""
     async with contextlib.AsyncExitStack() as stack:
         nursery = await stack.enter_async_context(trio.open_nursery())
         hosts = MemoryHostList()
@@ -189,12 +189,10 @@
 
 
 async def publish_routes(demo: Demo) -> None:
-    """Publish the four routes through the operators' API.
-
-    Returns once every gateway has them in force.
+    """Publish the four routes, and wait until all gateways have applied them.
 
     Raises:
-        OperatorsError: A route was not accepted.
+        OperatorsError: A route was rejected.
     """
     url = f"http://{LOOPBACK}:{demo.ports[0].operators}"
     with trio.fail_after(START_SECONDS):
@@ -228,7 +226,7 @@
         self.numbers = iter(range(REQUESTS_PER_CLASS))
 
     async def run(self) -> None:
-        """Send all requests, a few at a time."""
+        """Send all requests, `CONCURRENCY` of them at a time."""
         async with trio.open_nursery() as nursery:
             for _ in range(CONCURRENCY):
                 nursery.start_soon(self._send_in_turn)
@@ -274,7 +272,7 @@
 
 
 def result_table(results: list[ClassResult], probes: int) -> str:
-    """Return the results as lines of text."""
+    """Return the results as a table of text."""
     lines = [f"{'class':10}{'answers':24}{'p50 ms':>9}{'p99 ms':>9}  refusals"]
     for result in results:
         answers = " ".join(
--- a/agatetack/early_listener.py
+++ b/agatetack/early_listener.py
@@ -1,26 +1,28 @@
 """Listen for callers before the rest of the program is loaded.
 
-A host that was killed needs about a second until it serves, most of it for
-loading modules. A connection that is refused in that time costs its caller a
-try; one that waits in the kernel is answered if the host serves soon enough.
-Nothing here may import more than the standard library's sockets.
+A host that was killed needs about a second until it serves again, mostly to
+load modules. A connection that is refused in that time costs its caller an
+attempt; one that waits in the kernel's backlog is answered if the host serves
+soon enough. To be loaded quickly, this module may import nothing but `os` and
+`socket`.
 """
 
 import os
 import socket
 
 LISTEN_VARIABLE = "AGATETACK_LISTEN"
-"""Names the callers' address, `IP:PORT`, that the settings give, too."""
+"""Environment variable with the callers' address as `IP:PORT`. It must be the
+same as in the settings."""
 
 BACKLOG = 1024
-"""Connections that may wait to be accepted."""
+"""Most connections that may wait to be accepted."""
 
 early: dict[tuple[str, int], socket.socket] = {}
-"""Sockets that listen and that no server has taken yet, by IP and port."""
+"""Listening sockets that no server uses yet, by IP address and port."""
 
 
 def listening_socket(ip: str, port: int) -> socket.socket:
-    """Return a socket that listens on an IP number; port 0 is any.
+    """Return a socket that listens on an IP address; port 0 is any port.
 
     Raises:
         OSError: The address can't be listened on.
@@ -39,10 +41,10 @@
 
 
 def listen_early() -> str | None:
-    """Listen where the environment says; return why it can't be done.
+    """Listen on the address in the environment; return an error, or None.
 
-    The server that listens there later finds out by itself whether the
-    address is usable, so that nothing is lost but the time.
+    An error is not fatal: the server tries to listen on its address later and
+    reports it if that fails, so only the early start is lost.
     """
     text = os.environ.get(LISTEN_VARIABLE, "")
     if not text:
@@ -57,7 +59,7 @@
 
 
 def take_listener(ip: str, port: int) -> socket.socket:
-    """Return the socket that listens on the address, a new one if none does.
+    """Return the early socket of the address, or else a new one.
 
     Raises:
         OSError: The address can't be listened on.
@@ -66,7 +68,7 @@
 
 
 def keep_only(ip: str, port: int) -> list[str]:
-    """Close the sockets of other addresses, and return these."""
+    """Close the early sockets of other addresses; return those addresses."""
     others = [address for address in early if address != (ip, port)]
     for address in others:
         early.pop(address).close()
--- a/agatetack/errors.py
+++ b/agatetack/errors.py
@@ -1,13 +1,13 @@
-"""Define the errors that a user sees as one line."""
+"""Define the errors that users see as a message without a traceback."""
 
 
 class UserError(Exception):
-    """A mistake the user can mend; shown as one line, never a traceback."""
+    """An error that the user can fix; shown without a traceback."""
 
 
 class SettingsError(UserError):
-    """A settings file has findings; the message lists each with its place."""
+    """A settings file has errors; the message lists each with its position."""
 
 
 class ApiError(UserError):
-    """An operators' call was refused or could not reach a daemon."""
+    """A call of the operators' API was refused or didn't reach a daemon."""
--- a/agatetack/explain_log.py
+++ b/agatetack/explain_log.py
@@ -1,4 +1,4 @@
-"""Tell the story of one request from the JSON lines of several hosts."""
+"""Assemble the decision trace of one request from several hosts' JSON logs."""
 
 import dataclasses
 import pathlib
@@ -10,23 +10,24 @@
 from agatetack.errors import UserError
 
 ORDER = {"send": 0, "attempt-end": 1, "end": 2}
-"""Which of a request's lines of the same time goes first."""
+"""Order of a request's lines that have the same time; others come first."""
 
 STANDARD_INPUT = "-"
 
 LEFT_OUT = frozenset({"time", "level", "part", "event", "text", "request"})
-"""Fields that stand elsewhere in a story, or in its heading."""
+"""Fields that are not repeated in the list of a line's fields."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class StoryLine:
-    """One decision on the request.
+    """One line of a decision trace.
 
     Attributes:
-        time: When it was made, as the host wrote it.
-        source: What a collector wrote before the line, such as a host's name.
-        event: What was decided, or the text of a line without an event.
-        fields: What it was decided by, and the outcome.
+        time: Time of the decision, as the host wrote it.
+        source: Text that a log collector put before the line, such as a
+            host's name.
+        event: Name of the decision, or the text of a line without one.
+        fields: The inputs of the decision, and its outcome.
     """
 
     time: str
@@ -37,11 +38,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Story:
-    """What the lines say of one request.
+    """The decision trace of one request.
 
     Attributes:
-        lines: Its decisions, in order.
-        unread: Lines of the files that name it and are no JSON objects.
+        lines: Its decisions, in order of time.
+        unread: Number of lines that contain its id but no JSON object.
     """
 
     lines: Sequence[StoryLine]
@@ -49,7 +50,7 @@
 
 
 def read_story(file: str, request: str) -> Story:
-    """Return the story of `request` from the lines of `file`.
+    """Return the decision trace of `request` from the lines of `file`.
 
     Raises:
         UserError: The file can't be read.
@@ -69,10 +70,10 @@
 
 
 def read_line(text: str, request: str) -> StoryLine | None:
-    """Return what a line says of `request`, or None if it is of another.
+    """Parse a line about `request`; return None if it is not about it.
 
     Args:
-        text: One line; what stands before its JSON is kept as its source.
+        text: One line; the text before its JSON object becomes its source.
         request: The request's id.
     """
     source, brace, rest = text.partition("{")
@@ -90,7 +91,7 @@
 
 
 def render_story(story: Story) -> str:
-    """Return a story as text, a line for each decision."""
+    """Return a decision trace as text, with a line for each decision."""
     rows = []
     for line in story.lines:
         fields = " ".join(f"{k}={v}" for k, v in line.fields.items())
--- a/agatetack/gateway.py
+++ b/agatetack/gateway.py
@@ -1,4 +1,4 @@
-"""Wire a host that keeps its routes, claims and deferred work in the log."""
+"""Build a host that stores routes, claims and deferred work in the log."""
 
 import dataclasses
 
@@ -38,14 +38,14 @@
 
 
 class Gateway(GatewayCore):
-    """One host: every slice, wired; `run` serves until it is cancelled.
+    """One host with all its components; `run` serves until cancelled.
 
     Attributes:
-        directory: The platform's list of hosts.
-        config: Changes of routes.
+        directory: Follows the platform's list of hosts.
+        config: Store of the routes and their changes.
         drains: Targets that operators drained.
-        claims: Who may run which never-repeated request.
-        deferred: Requests that may wait.
+        claims: Grants attempts permission to run at-most-once requests.
+        deferred: Queue of deferred requests.
     """
 
     def __init__(
@@ -56,14 +56,14 @@
         clock: Clock | None = None,
         seed: int | None = None,
     ):
-        """Build every slice; nothing runs before `run`.
+        """Build all components; `run` starts them.
 
         Args:
             settings: The host's settings.
             platform_log: The platform's log.
             host_list: The platform's list of hosts.
             clock: The host's clocks; the system's if None.
-            seed: Of its choices; drawn if None.
+            seed: Seed of its random choices; drawn at random if None.
         """
         super().__init__(settings, clock, seed)
         self.directory = HostDirectory(settings, host_list, self.metrics)
@@ -120,8 +120,9 @@
         await self.claims.flush(deadline)
 
     async def _flush_deferred(self, deadline: Deadline) -> None:
-        # With the log out this would wait for ever; the lifecycle names it
-        # unfinished, and another host runs what was taken up here.
+        # Without a deadline this would never end while the log is down. The
+        # lifecycle then reports the flush as unfinished, and another host
+        # runs the requests that this host had started.
         with trio.fail_at(deadline):
             await self.deferred.drain()
 
--- a/agatetack/gateway_core.py
+++ b/agatetack/gateway_core.py
@@ -1,4 +1,4 @@
-"""Wire the slices that every host has, whatever it learns its routes from."""
+"""Build the components common to all hosts, whatever their route source."""
 
 import random
 from collections.abc import Mapping, Sequence
@@ -44,14 +44,15 @@
 from agatetack.tls import ServerTls
 
 MAX_STOPS = 2
-"""Wishes to stop that count: the first drains, the second ends that."""
+"""Stop requests that are buffered: the first starts the drain, the second
+aborts it."""
 
 
 class GatewayReadiness(ReadinessView):
-    """What a host must know before it takes requests."""
+    """Checks what a host must know before it accepts requests."""
 
     def __init__(self, routes: RouteSource, registry: TargetRegistry):
-        """Look at the routes in force and at what is known of targets."""
+        """Check the routes in force and the targets in `registry`."""
         self.routes = routes
         self.registry = registry
 
@@ -60,7 +61,7 @@
         return self.routes.table is not None
 
     def unmeasured_routes(self) -> Sequence[RouteId]:
-        """Return the routes of which no target has reported its load."""
+        """Return the routes for which no target has reported its load."""
         return [
             route.id
             for route in self.routes.table.routes.values()
@@ -73,19 +74,19 @@
 
 
 class GatewayCore:
-    """The slices of one host that do not depend on where its routes are.
+    """The components of one host that don't depend on its route source.
 
     Attributes:
         settings: The host's settings.
-        clock: Its clocks.
-        seed: Of its choices among targets.
-        metrics: Its counters.
-        peers: The other hosts.
+        clock: Its wall clock and monotonic clock.
+        seed: Seed of the random generators that choose targets.
+        metrics: Its metrics.
+        peers: The exchange with the other hosts.
         routes: The routes in force.
-        registry: The targets.
-        lifecycle: How far the host is between its start and its end.
-        callers: Its connections with callers.
-        stops: Takes a value for each wish to stop, by signal or operator.
+        registry: The known targets and their state.
+        lifecycle: The host's phase, from start to drain and exit.
+        callers: The server for callers.
+        stops: Receives a value for each stop request, by signal or operator.
     """
 
     def __init__(
@@ -94,12 +95,12 @@
         clock: Clock | None = None,
         seed: int | None = None,
     ):
-        """Start with what the other slices need.
+        """Create what the other components need.
 
         Args:
             settings: The host's settings.
             clock: The host's clocks; the system's if None.
-            seed: Of its choices; drawn if None.
+            seed: Seed of its random choices; drawn at random if None.
         """
         self.settings = settings
         self.seed = seed
@@ -117,12 +118,13 @@
         load_reader: LoadReader | None = None,
         load_paths: Mapping[ServiceId, str] | None = None,
     ) -> None:
-        """Build what finds, measures and calls targets.
+        """Build the components that discover, measure and call targets.
 
         Args:
-            directory: The other hosts that are known.
-            load_reader: Reads load reports; by the settings if None.
-            load_paths: Load paths of services that have one of their own.
+            directory: The directory of the other hosts.
+            load_reader: Parses load reports; if None, the settings decide.
+            load_paths: Load paths by service, where they differ from the
+                settings' one.
         """
         settings, metrics = self.settings, self.metrics
         self.peers = PeerExchange(settings, directory, metrics, self.clock)
@@ -193,7 +195,7 @@
         load_reader: LoadReader | None,
         load_paths: Mapping[ServiceId, str] | None,
     ) -> AdmissionController:
-        """Return the admission that requests go through."""
+        """Return the admission for requests, with pre-send probes if set."""
         if not self.settings.measure.target_looks_per_second:
             return self.admission
         look = PreSendProber(
@@ -208,11 +210,11 @@
         return ProbingAdmission(self.admission, look, self.metrics)
 
     def liveness_check(self) -> LivenessCheck:
-        """Return what tells a crashed target from one lost connection."""
+        """Return the check that tells a crash from one lost connection."""
         return PoolLivenessCheck(self.client.pools)
 
     def fleet_size(self) -> int | None:
-        """Return the number of hosts, never too low; None if not known."""
+        """Return an upper bound of the number of hosts; None if unknown."""
         return self.peers.fleet_size()
 
     def build_caller_side(
@@ -220,11 +222,12 @@
         runners: Mapping[RequestClass, ClassRunner],
         tickets: Handler | None = None,
     ) -> None:
-        """Build what serves callers.
+        """Build the components that serve callers.
 
         Args:
-            runners: How the requests of each class are run.
-            tickets: Answers polls for deferred requests, if there are any.
+            runners: The runner of each request class.
+            tickets: Handles polls for deferred requests; None if the host
+                runs no deferred requests.
         """
         settings, metrics = self.settings, self.metrics
         self.explanations = Explanations()
@@ -255,16 +258,17 @@
         self.lifecycle.add_flush("callers", self._flush_callers)
 
     async def _flush_callers(self, deadline: Deadline) -> None:
-        # A request that is still arriving is not in flight yet, and would be
-        # cut instead of refused.
+        # A request that is still being received doesn't count as in flight
+        # yet. Without this wait, its connection would be closed instead of
+        # the request being refused.
         await self.callers.ended.wait()
 
     def readiness(self) -> ReadinessView:
-        """Return what this host must know before it takes requests."""
+        """Return the checks this host must pass before it takes requests."""
         return GatewayReadiness(self.routes, self.registry)
 
     async def start_serving(self, nursery: trio.Nursery) -> int:
-        """Start the tasks of these slices; return the port for callers."""
+        """Start the tasks of all components; return the port for callers."""
         await nursery.start(self.prober.run)
         nursery.start_soon(self.rounds.run)
         if self.occupancy is not None:
--- a/agatetack/headers.py
+++ b/agatetack/headers.py
@@ -1,4 +1,4 @@
-"""Read numbers in header fields, and tell the fields of one connection."""
+"""Parse numbers in header fields, and remove hop-by-hop fields."""
 
 import dataclasses
 import enum
@@ -23,23 +23,23 @@
 """Header fields that concern one connection only (RFC 9110, 7.6.1)."""
 
 FRAMING = frozenset({b"content-length", b"expect"})
-"""Header fields that are written anew on the next connection."""
+"""Header fields that are generated anew for the next connection."""
 
 MAX_COUNT_DIGITS = 9
-"""Digits of a number in a header; one that is longer counts as none.
+"""Most digits of a number in a header; a longer one counts as absent.
 
-Numbers of any length would overflow where they meet a float, and Python
-refuses to read thousands of digits at all.
+Numbers of unlimited length would overflow when they are converted to float,
+and Python refuses to parse integers of thousands of digits.
 """
 
 MAX_DECIMAL_BYTES = 32
-"""Longest text that is read as a number."""
+"""Longest text that is parsed as a decimal number."""
 
 DECIMAL = re.compile(rb"[0-9]+(\.[0-9]+)?")
 
 
 class DecimalProblem(enum.Enum):
-    """Why a number in a header is not believed."""
+    """Why a number in a header is rejected."""
 
     REPEATED = "repeated"
     TOO_LONG = "too-long"
@@ -49,11 +49,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ReadDecimal:
-    """What the fields of one name say.
+    """The number in the header fields of one name.
 
     Attributes:
-        value: The number; None if there is no such field.
-        problem: Why what it names is not believed, or None.
+        value: The number; None if there is no such field or it was rejected.
+        problem: Why the fields were rejected, or None.
     """
 
     value: float | None = None
@@ -61,11 +61,11 @@
 
 
 def read_decimal(values: Sequence[bytes], most: float) -> ReadDecimal:
-    """Return the number that the values of a header say, from 0 to `most`.
+    """Parse the values of a header as one number from 0 to `most`.
 
     Args:
-        values: One value for each field of that name, in their order.
-        most: The highest number that is believed.
+        values: The value of each field of that name, in order.
+        most: The highest number that is accepted.
     """
     if not values:
         return ReadDecimal()
@@ -83,14 +83,14 @@
 
 
 def read_count(value: bytes | None) -> int | None:
-    """Return the whole number that a header holds, or None if it holds none."""
+    """Return a header's value as an integer, or None if it is not one."""
     if value is None or len(value) > MAX_COUNT_DIGITS or not value.isdigit():
         return None
     return int(value)
 
 
 def strip_hop_by_hop(headers: Iterable[Header]) -> list[Header]:
-    """Return `headers` without those that concern one connection only."""
+    """Return `headers` without hop-by-hop and framing fields."""
     dropped = HOP_BY_HOP
     kept = []
     for header in headers:
--- a/agatetack/http_call.py
+++ b/agatetack/http_call.py
@@ -1,4 +1,4 @@
-"""Call a platform service over HTTP and tell what is known of a failure."""
+"""HTTP client for platform services that reports whether a request was sent."""
 
 import dataclasses
 import socket
@@ -13,7 +13,7 @@
     import httpcore
 
 IDLE_CLOSE_SECONDS = 5.0
-"""An idle connection older than this is not used again."""
+"""Connections that were idle for longer are not reused."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -23,10 +23,10 @@
     Attributes:
         method: The HTTP method.
         path: Path and query.
-        deadline: When to give it up, on trio's clock.
+        deadline: When the call is given up, on trio's clock.
         body: The request's body.
-        headers: Header fields besides the usual ones.
-        max_reply_bytes: Longest reply body that is read.
+        headers: Header fields in addition to the default ones.
+        max_reply_bytes: Longest reply body that is accepted.
     """
 
     method: str
@@ -43,8 +43,8 @@
 
     Attributes:
         status: The HTTP status.
-        headers: Header fields, names in lower case; the values of repeated
-            ones are joined by commas.
+        headers: Header fields with names in lower case; the values of
+            repeated fields are joined by commas.
         body: The whole body.
     """
 
@@ -54,21 +54,24 @@
 
 
 class CallFailed(Exception):
-    """No complete reply came.
+    """No complete reply arrived.
 
     Attributes:
-        sent: Whether a byte of the request can have left this host.
+        sent: Whether any byte of the request may have left this host.
     """
 
     def __init__(self, cause: str, sent: bool):
-        """Keep what went wrong and whether anything was sent."""
+        """Create the error from its cause and whether anything was sent."""
         super().__init__(cause)
         self.sent = sent
 
 
 @dataclasses.dataclass(slots=True)
 class _Generation:
-    """A pool and its open calls; a suspect pool is closed after the last."""
+    """A connection pool and its number of open calls.
+
+    A retired pool is closed when its last call ends.
+    """
 
     pool: "httpcore.AsyncConnectionPool"
     calls: int = 0
@@ -77,13 +80,13 @@
 
 @dataclasses.dataclass(slots=True)
 class _Progress:
-    """How far one call has come."""
+    """The steps that one call has completed."""
 
     connected: bool = False
     sent: bool = False
 
     async def trace(self, event: str, _info: Mapping) -> None:
-        """Note the steps that decide what a failure means."""
+        """Record the steps that matter if the call fails."""
         if event == "connection.connect_tcp.complete":
             self.connected = True
         elif event == "http11.send_request_headers.started":
@@ -91,10 +94,10 @@
 
 
 class PlatformCaller:
-    """A platform service at one address.
+    """Client of a platform service at one address.
 
-    Calls run side by side, each on a connection of its own, so that a read
-    that waits never blocks an append. Nothing is ever sent twice.
+    Concurrent calls use separate connections, so that a long-polling read
+    never blocks an append. Requests are never retried.
     """
 
     def __init__(
@@ -103,16 +106,17 @@
         timeout_seconds: float,
         silent_seconds: int | None = None,
     ):
-        """Reach the service at `endpoint`.
+        """Create a client of the service at `endpoint`.
 
         Args:
-            endpoint: Its IP number and port.
+            endpoint: The service's IP address and port.
             timeout_seconds: Longest time that opening a connection may take.
-            silent_seconds: A connection whose other end acknowledges nothing
-                for this long is lost; None leaves that to the system.
+            silent_seconds: Time without an acknowledgement from the other
+                end after which a connection counts as lost; None for the
+                system's defaults.
         """
         self.silent_seconds = silent_seconds
-        # An IPv6 number stands in brackets in a URL.
+        # URLs have IPv6 addresses in brackets.
         host = f"[{endpoint.host}]" if ":" in endpoint.host else endpoint.host
         self.origin = f"http://{host}:{endpoint.port}"
         self.timeout_seconds = timeout_seconds
@@ -127,10 +131,10 @@
         """Send `request` once and return its complete reply.
 
         Raises:
-            CallFailed: No complete reply came before the deadline.
+            CallFailed: No complete reply arrived before the deadline.
         """
-        # Loaded here, as a host that starts from what another one has read
-        # makes no call.
+        # Imported here, because a host that starts from a copy of another
+        # host's data makes no call and need not load it.
         import httpcore
 
         if self.generation is None:
@@ -177,8 +181,8 @@
         return PlatformReply(response.status, headers, bytes(body))
 
     def _suspect(self, generation: _Generation, progress: _Progress) -> None:
-        # What made a reused connection go silent has probably made its
-        # siblings silent too, so that the next calls open new ones.
+        # If a reused connection timed out, the pool's other connections are
+        # probably dead for the same reason, so the next calls open new ones.
         if progress.connected or generation is not self.generation:
             return
         generation.retired = True
@@ -198,10 +202,10 @@
 
 
 def _silence(seconds: int) -> list[tuple[int, int, int]]:
-    """Return socket options that end a connection after so long a silence.
+    """Return socket options that detect a dead peer after `seconds`.
 
-    A read that waits for a record for long sends nothing by itself, so that
-    only probes of the system's own show that the other end is gone.
+    A long-polling read sends nothing while it waits, so only TCP keepalive
+    probes can detect that the other end no longer exists.
     """
     return [
         (socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1),
@@ -213,7 +217,7 @@
 
 
 def _joined(fields: Sequence[tuple[bytes, bytes]]) -> dict[bytes, bytes]:
-    """Return header fields by name, the values of repeated ones joined."""
+    """Return header fields by name, joining the values of repeated ones."""
     joined: dict[bytes, bytes] = {}
     for name, value in fields:
         key = name.lower()
--- a/agatetack/ids.py
+++ b/agatetack/ids.py
@@ -1,12 +1,12 @@
-"""Name the identifiers that pass between slices."""
+"""Define the types of identifiers that components share."""
 
 from typing import NewType
 
 AttemptId = NewType("AttemptId", str)
-"""One try at one target; unique over all hosts and restarts."""
+"""Id of one attempt at one target; unique over all hosts and restarts."""
 
 CallerId = NewType("CallerId", str)
-"""Who sent a request, as the caller names itself or by IP address."""
+"""The sender of a request: the name that it states, or its IP address."""
 
 ChangeId = NewType("ChangeId", str)
 """One operator's change of configuration, chosen by the operator."""
@@ -19,26 +19,26 @@
 """One agatetack process, as its settings name it."""
 
 IdempotencyKey = NewType("IdempotencyKey", str)
-"""What a caller sends to have a request run at most once."""
+"""Key that a caller sends so that a request runs at most once."""
 
 LogOffset = NewType("LogOffset", int)
-"""Where a record stands in a stream of the platform's log, from 0."""
+"""Position of a record in a stream of the platform's log, from 0."""
 
 ProcessId = NewType("ProcessId", str)
-"""One start of a target's process: its `TargetId`, and its incarnation where
-the platform tells it."""
+"""One instance of a target's process: its `TargetId`, and its incarnation if
+the platform reports it."""
 
 RequestId = NewType("RequestId", str)
-"""One request, chosen by the caller or made at arrival."""
+"""Id of one request, chosen by the caller or generated on arrival."""
 
 RouteId = NewType("RouteId", str)
-"""One route, chosen by the operator; also its counters' label."""
+"""Id of one route, chosen by the operator; also the label of its metrics."""
 
 ServiceId = NewType("ServiceId", str)
 """A group of targets that run the same requests."""
 
 StoreGeneration = NewType("StoreGeneration", int)
-"""How often the metadata store has lost records, as it says itself."""
+"""How often the metadata store has lost records, as the store reports it."""
 
 StreamId = NewType("StreamId", str)
 """One stream of the platform's log."""
@@ -50,7 +50,7 @@
 """A team of operators that owns services."""
 
 TicketId = NewType("TicketId", str)
-"""A deferred request, given to its caller for polling."""
+"""Id of a deferred request, with which its caller polls for the result."""
 
 Deadline = NewType("Deadline", float)
 """A point on trio's monotonic clock, in seconds."""
--- a/agatetack/log_writer.py
+++ b/agatetack/log_writer.py
@@ -1,4 +1,4 @@
-"""Write log lines in a thread, so that a stalled reader stalls no request."""
+"""Write log lines in a thread, so that a slow reader doesn't block requests."""
 
 import enum
 import logging as std_logging
@@ -8,10 +8,10 @@
 from collections.abc import Callable
 
 MAX_WAITING = 2000
-"""Lines that wait for the thread; more of them are counted and dropped."""
+"""Most lines queued for the thread; further ones are counted and dropped."""
 
 STOP_SECONDS = 1.0
-"""How long a stop waits for the lines that are still to be written."""
+"""Longest time that a stop waits for the queued lines to be written."""
 
 STANDARD_OUTPUT = 1
 STANDARD_ERROR = 2
@@ -25,22 +25,22 @@
 
 
 CountDrop = Callable[[LineDrop], None]
-"""Takes the reason of one line that was not written; must not block."""
+"""Called with the reason why a line was not written; must not block."""
 
 
 def count_nothing(reason: LineDrop) -> None:
-    """Count no line; in place until a host has counters."""
+    """Ignore the drop; used until the host's metrics exist."""
 
 
 class LogWriter(std_logging.Handler):
-    """Hand records to a thread that formats and writes them.
+    """Log handler that formats and writes records in a thread.
 
-    Standard error is often a pipe. When its reader stops, a write blocks, and
-    with it every task of the host.
+    Standard error is often a pipe. If its reader stops reading, a write
+    blocks, and on trio's thread this would block every task of the host.
 
     Attributes:
-        dropped: Lines dropped since the last one written.
-        count_drop: Told of each line that is dropped.
+        dropped: Number of lines dropped and not yet reported in the log.
+        count_drop: Called for each line that is dropped.
     """
 
     def __init__(
@@ -49,7 +49,7 @@
         """Start the thread.
 
         Args:
-            formatter: Makes the lines.
+            formatter: Formats records as lines.
             file: The file descriptor to write to.
         """
         super().__init__()
@@ -65,15 +65,15 @@
         self.thread.start()
 
     def emit(self, record: std_logging.LogRecord) -> None:
-        """Hand one record to the thread, or drop it if too many wait."""
+        """Queue a record for the thread, or drop it if the queue is full."""
         if self.waiting.qsize() < MAX_WAITING:
             self.waiting.put(record)
         else:
-            self.dropped += 1  # Its caller, `handle`, holds the lock.
+            self.dropped += 1  # `handle`, which calls this, holds the lock.
             self.count_drop(LineDrop.NOT_READ)
 
     def stop(self) -> None:
-        """Write what waits and end the thread; give up after a while."""
+        """Write the queued lines and end the thread, within a time limit."""
         self.waiting.put(None)
         self.thread.join(STOP_SECONDS)
 
@@ -100,14 +100,15 @@
         return record
 
     def _write(self, record: std_logging.LogRecord) -> None:
-        # The buffer of sys.stderr is avoided: a thread that is blocked while
-        # it holds the buffer's lock makes the interpreter abort at its end.
+        # This does not write through sys.stderr: if a thread is blocked while
+        # it holds the lock of that buffer, the interpreter aborts on exit.
         try:
             line = f"{self.formatter.format(record)}\n"
             content = line.encode("utf-8", "backslashreplace")
             while content:
                 content = content[os.write(self.file, content) :]
         except Exception:
-            # There is nowhere left to report it, and the thread must go on.
+            # The log is the only place to report an error, and the thread
+            # has to continue.
             with self.lock:
                 self.dropped += 1
--- a/agatetack/logs.py
+++ b/agatetack/logs.py
@@ -1,4 +1,4 @@
-"""Write log lines: short sentences with a fixed prefix for each part."""
+"""Write log lines: short sentences with a fixed prefix for each component."""
 
 import atexit
 import logging as std_logging
@@ -27,21 +27,21 @@
 """The file descriptor of each output."""
 
 WINDOW_SECONDS = 1.0
-"""How long the lines of one kind are counted together."""
+"""Length of the window over which lines of one kind are limited."""
 
 MAX_KINDS = 1000
-"""Kinds of lines that are counted; with more of them the count restarts."""
+"""Most kinds of lines that are counted; beyond this, all counts are reset."""
 
 
 class LineLimiter:
-    """Bounds how often lines of one kind are written.
+    """Limits how often lines of one kind are written.
 
-    An outage makes one line for each request; written out, they would block
-    the process that should get over it.
+    An outage can cause one line for each request. Writing all of them would
+    block the process while it should recover.
 
     Attributes:
-        max_lines: Lines of one kind in a window.
-        count_drop: Told of each line that is left out.
+        max_lines: Most lines of one kind in a window.
+        count_drop: Called for each line that is left out.
     """
 
     def __init__(
@@ -55,11 +55,11 @@
         self.seen: dict[str, int] = {}
 
     def take(self, kind: str) -> int | None:
-        """Return how many lines of `kind` were left out lately.
+        """Count a line of `kind`, and return whether it may be written.
 
         Returns:
-            None if this line is to be left out too, else the number of those
-            left out since the last line that was written.
+            None if the line has to be left out; otherwise the number of lines
+            that were left out since the last one that was written.
         """
         now = self.clock()
         if now >= self.window_ends:
@@ -75,7 +75,8 @@
         return max(-seen, 0)
 
     def _start_window(self, now: float) -> None:
-        # A negative count carries what was left out, until it is written.
+        # A negative count is the number of lines left out in earlier windows
+        # that no written line has reported yet.
         left_out = {
             kind: min(seen, self.max_lines - seen)
             for kind, seen in self.seen.items()
@@ -85,14 +86,14 @@
 
 
 limiter = LineLimiter(max_lines=20)
-"""Shared by all parts; `set_up_logs` sets its limit."""
+"""Shared by all components; `set_up_logs` sets its limit."""
 
 
 class PartLog:
-    """The log of one part; every line starts with its prefix."""
+    """The log of one component; every line starts with its prefix."""
 
     def __init__(self, prefix: str):
-        """Name the part; lines read `prefix: sentence`."""
+        """Create a log whose lines have the form `prefix: sentence`."""
         self.prefix = prefix
 
     def debug(self, text: str, *args: object) -> None:
@@ -104,15 +105,15 @@
         self._write(std_logging.INFO, None, text, args)
 
     def warning(self, text: str, *args: object) -> None:
-        """Write a line about something that an operator should look at."""
+        """Write a line about something that operators should check."""
         self._write(std_logging.WARNING, None, text, args)
 
     def error(self, text: str, *args: object) -> None:
-        """Write a line about something that went wrong in this host."""
+        """Write a line about a fault in this host."""
         self._write(std_logging.ERROR, None, text, args)
 
     def request(self, request: RequestId, text: str, *args: object) -> None:
-        """Write a line about one request; its id stands first."""
+        """Write a line about one request, which starts with its id."""
         self._write(std_logging.INFO, request, text, args)
 
     def _write(
@@ -138,7 +139,7 @@
 
 
 def _fill(text: str, args: tuple[object, ...]) -> str:
-    """Return the sentence; a log line never fails its writer."""
+    """Format a sentence; wrong arguments are appended instead of raising."""
     if not args:
         return text
     try:
@@ -147,7 +148,7 @@
         return f"{text} {args!r}"
 
 
-# The file and line of a record are those of the part that wrote it.
+# absl skips these frames, so that a record has its caller's file and line.
 for _method in ("debug", "info", "warning", "error", "request", "_write"):
     logging.ABSLLogger.register_frame_to_skip(__file__, _method)
 
@@ -156,10 +157,10 @@
     """Write each line as one JSON object."""
 
     def format(self, record: std_logging.LogRecord) -> str:
-        """Return the line with its time, level, part, request and text."""
+        """Return the JSON object of `record`, with its time and level."""
         fields = getattr(record, "line", None)
         if fields is None:
-            # A library wrote it, without a part of ours.
+            # A library wrote the record, so it has no fields of ours.
             fields = {"part": record.name, "text": record.getMessage()}
         line = {"time": _format_time(record), "level": record.levelname.lower()}
         for name, value in fields.items():
@@ -171,14 +172,14 @@
 
 
 def _clean(value: object) -> object:
-    """Return a value that JSON can hold; it has no lone surrogates."""
+    """Escape lone surrogates in a string, as JSON can't encode them."""
     if not isinstance(value, str):
         return value
     return value.encode("utf-8", "backslashreplace").decode("utf-8")
 
 
 def _format_time(record: std_logging.LogRecord) -> str:
-    """Return when the line was written, or when what it tells of happened."""
+    """Return the time of the logged event, or else of the record."""
     wall = getattr(record, "wall", None)
     created = record.created if wall is None else wall
     seconds = time.strftime("%Y-%m-%dT%H:%M:%S", time.gmtime(created))
@@ -186,7 +187,7 @@
 
 
 def count_drops(count: CountDrop) -> None:
-    """Have `count` told of each line that is not written from now on."""
+    """Call `count` for each line that is dropped from now on."""
     limiter.count_drop = count
     for handler in std_logging.getLogger().handlers:
         if isinstance(handler, LogWriter):
@@ -194,12 +195,12 @@
 
 
 def set_up_logs(settings: LogsSettings) -> LogWriter:
-    """Send log lines where `settings` say.
+    """Set up the process's log output as `settings` say.
 
     Returns:
-        The writer; lines that still wait are written at the process's end.
+        The writer; lines still queued are written when the process exits.
     """
-    # Without this absl warns on each start that its flags are not parsed.
+    # Without this, absl warns at each start that its flags are not parsed.
     flags.FLAGS.mark_as_parsed()
     logging.use_absl_handler()
     logging.set_verbosity(settings.level.value)
--- a/agatetack/messages.py
+++ b/agatetack/messages.py
@@ -1,4 +1,4 @@
-"""Define the requests and answers that pass between slices."""
+"""Define the requests and answers that components pass to each other."""
 
 import abc
 import dataclasses
@@ -37,11 +37,11 @@
 
 
 class CallerGone(Exception):
-    """The caller's connection was lost while its request was read."""
+    """The caller's connection was lost while its request was being read."""
 
 
 class AnswerCut(Exception):
-    """An answer's body ended before the length or end that was announced."""
+    """An answer's body ended before its Content-Length or last chunk."""
 
 
 class Body(abc.ABC):
@@ -55,7 +55,7 @@
 
     @abc.abstractmethod
     async def receive(self) -> bytes:
-        """Return the next bytes, or `b""` at the verified end.
+        """Return the next bytes, or `b""` at the end of a complete body.
 
         Raises:
             CallerGone: A request's body was cut.
@@ -63,28 +63,28 @@
         """
 
     def receive_nowait(self) -> bytes | None:
-        """Return bytes that are here already, or None; never the end."""
+        """Return bytes that have arrived, or None; never reports the end."""
         return None
 
     def take_whole(self) -> bytes | None:
-        """Return the whole body if all of it is here and none was taken."""
+        """Return the body if it is complete in memory and wholly unread."""
         return None
 
     async def aclose(self) -> None:  # noqa: B027
-        """Free what the body holds; there may be nothing to free."""
+        """Release the body's resources; by default there are none."""
 
 
 class BytesBody(Body):
-    """A body held in memory; `rewind` makes it readable again."""
+    """A body in memory; `rewind` makes it readable again."""
 
     def __init__(self, content: bytes):
-        """Hold `content`."""
+        """Create a body of the bytes `content`."""
         self.content = content
         self.length = len(content)
         self.taken = False
 
     async def receive(self) -> bytes:
-        """Return all bytes at the first call, then `b""`."""
+        """Return all bytes on the first call, then `b""`."""
         if self.taken:
             return b""
         self.taken = True
@@ -110,7 +110,7 @@
 
 
 async def read_whole(body: Body) -> BytesBody:
-    """Return what is left of `body` in memory.
+    """Read the rest of `body` into memory.
 
     Raises:
         CallerGone: A request's body was cut.
@@ -126,17 +126,18 @@
 
 @dataclasses.dataclass(slots=True)
 class AttemptNote:
-    """What one attempt of a request did, for operators who ask later.
+    """Record of one attempt of a request, for operators' inquiries.
 
     Attributes:
-        attempt: The attempt.
-        target: Where it went.
+        attempt: The attempt's id.
+        target: The target that it was sent to.
         started: When it was sent.
         retry_reason: Why it was made, or None for the first.
-        ended: When its header came or it failed, or None while it runs.
-        failure: Why it brought no answer, or None.
-        cancelled: Whether it was given up, as another one was answered or
-            the caller had gone.
+        ended: When the answer's header arrived or the attempt failed; None
+            while it runs.
+        failure: Why it got no answer, or None.
+        cancelled: Whether it was cancelled, because another attempt was
+            answered or the caller had disconnected.
     """
 
     attempt: AttemptId
@@ -159,13 +160,13 @@
         path: Path and query as sent.
         host: The Host header without its port, in lower case.
         headers: Header fields, without hop-by-hop ones.
-        body: A `BytesBody` where it is small enough to be sent again.
-        deadline: When the answer is of no more use.
+        body: The body; a `BytesBody` if it is small enough to be sent again.
+        deadline: Time after which the caller has no use for the answer.
         key: The idempotency key, or None.
         arrived: When the last header byte was read.
-        deadline_given: Whether the caller brought the deadline; else the
-            route's stands in.
-        attempts: What was done with it, in the order of the attempts.
+        deadline_given: Whether the caller sent the deadline; otherwise it
+            is the route's.
+        attempts: Its attempts, in order.
         story: The decisions about it, for the log.
     """
 
@@ -206,17 +207,18 @@
     route: RouteId | None = None
 
     async def aclose(self) -> None:
-        """Free what the answer holds; a body not read to its end is cut."""
+        """Release the answer; a body not read to its end is truncated."""
         await self.body.aclose()
 
 
 class Handler(abc.ABC):
-    """Whatever turns a caller's request into an answer."""
+    """Handles a caller's request and returns the answer."""
 
     @abc.abstractmethod
     async def handle(self, request: CallerRequest) -> Answer:
         """Return the answer; refusals are answers too, never exceptions.
 
         Raises:
-            CallerGone: The request's body was cut, so nobody awaits an answer.
+            CallerGone: The request's body was cut, so nobody waits for an
+                answer.
         """
--- a/agatetack/metrics.py
+++ b/agatetack/metrics.py
@@ -1,8 +1,8 @@
-"""Count what a host does, for Prometheus.
+"""Prometheus metrics of a host.
 
-One `Metrics` belongs to one host, so several hosts can run in one process.
-Every refusal and retry reason of `agatetack.outcomes` has a counter that
-exists from the start, so that a reason can't be missed by a dashboard.
+Each host has its own `Metrics`, so several hosts can run in one process.
+Every refusal and retry reason of `agatetack.outcomes` has a series from the
+start, so that dashboards show reasons that have not occurred yet.
 """
 
 import collections
@@ -23,14 +23,14 @@
 
 
 MAX_SHOWN_TARGETS = 200
-"""Targets with a latency series of their own."""
+"""Most targets that have a latency series of their own."""
 
 OTHER_TARGETS_LABEL = "others"
-"""The target label of all others."""
+"""The target label that all other targets share."""
 
 
 class MeasureKind(enum.Enum):
-    """How a target was measured."""
+    """Source of a target's load report."""
 
     ANSWER = "answer"
     PROBE = "probe"
@@ -38,14 +38,15 @@
 
 
 class HotCounter:
-    """A counter with one label that is stepped for each request.
+    """A counter with one label that is incremented for each request.
 
-    Steps are kept in a plain map, which costs a tenth of a step of the
-    library's counter, and handed over when the metrics are rendered.
+    Increments are collected in a plain map, at a tenth of the cost of an
+    increment of the library's counter, and added to that counter when the
+    metrics are rendered.
     """
 
     def __init__(self, counter: Counter, label: str):
-        """Count for `counter`, whose only label is `label`."""
+        """Create a buffer of `counter`, whose only label is `label`."""
         self.counter = counter
         self.label = label
         self.steps: collections.Counter[str] = collections.Counter()
@@ -55,21 +56,21 @@
         self.steps[labels[self.label]] += 1
 
     def hand_over(self) -> None:
-        """Add what was counted to the library's counter."""
+        """Move the collected increments to the library's counter."""
         for value, count in self.steps.items():
             self.counter.add({self.label: value}, count)
         self.steps.clear()
 
 
 class Metrics:
-    """All counters of one host; names and help texts stand here only.
+    """All common metrics of one host.
 
     Attributes:
-        registry: What `/metrics` renders.
+        registry: The registry that `/metrics` renders.
     """
 
     def __init__(self) -> None:
-        """Create every counter, and one series for each reason."""
+        """Create the metrics, and one series for each reason."""
         self.registry = Registry()
         self.hot: list[HotCounter] = []
         self.shown_targets: set[TargetId] = set()
@@ -147,17 +148,17 @@
             )
 
     def counter(self, name: str, doc: str) -> Counter:
-        """Register a counter; slices add their own this way."""
+        """Register a counter; components use this to add their own."""
         return Counter(name, doc, registry=self.registry)
 
     def hot_counter(self, name: str, doc: str, label: str) -> HotCounter:
-        """Register a counter with one label that each request steps."""
+        """Register a counter with one label that each request increments."""
         counter = HotCounter(self.counter(name, doc), label)
         self.hot.append(counter)
         return counter
 
     def gauge(self, name: str, doc: str) -> Gauge:
-        """Register a gauge; slices add their own this way."""
+        """Register a gauge; components use this to add their own."""
         return Gauge(name, doc, registry=self.registry)
 
     def refused(self, route: RouteId | None, reason: RefusalReason) -> None:
@@ -170,14 +171,14 @@
         self.retries.inc({"route": route, "reason": reason.value})
 
     def answered(self, route: RouteId, seconds: float) -> None:
-        """Count a request and note its time to answer headers."""
+        """Record the time to a request's answer headers."""
         self.latency.observe({"route": route}, seconds)
 
     def target_answered(self, target: TargetId, seconds: float) -> None:
-        """Note an attempt's time to answer headers.
+        """Record the time to an attempt's answer headers.
 
-        Only the first targets have a series of their own: at 9,800 the page
-        would be 10 MB and take most of a second.
+        Only the first targets have their own series, because with 9,800
+        targets `/metrics` would have 10 MB and take most of a second.
         """
         label = target
         if target not in self.shown_targets:
@@ -188,7 +189,7 @@
         self.target_latency.observe({"target": label}, seconds)
 
     def hand_over(self) -> None:
-        """Add what hot counters hold to the library's counters."""
+        """Move the increments of hot counters to the library's counters."""
         for counter in self.hot:
             counter.hand_over()
 
@@ -196,7 +197,7 @@
         """Return the body and headers of `/metrics`.
 
         Args:
-            accept: The Accept header of the request; text if empty.
+            accept: The request's Accept header; if empty, text is rendered.
         """
         self.hand_over()
         return render(self.registry, [accept] if accept else [])
--- a/agatetack/outcomes.py
+++ b/agatetack/outcomes.py
@@ -1,8 +1,8 @@
-"""Define what can become of a request and why.
+"""Define the possible outcomes of a request and the reasons for them.
 
 Every answer that is not the target's own carries one `Outcome` and one
-`RefusalReason`. The HTTP status and outcome of each reason stand in one table
-here, so that the callers' slice, the metrics and the docs cannot disagree.
+`RefusalReason`. One table here gives the HTTP status and outcome of each
+reason, so that the server for callers, the metrics and the docs agree.
 """
 
 import dataclasses
@@ -12,7 +12,7 @@
 
 
 class Outcome(enum.Enum):
-    """What became of a request."""
+    """Whether a request ran."""
 
     ANSWERED = "answered"
     NOT_RUN = "not-run"
@@ -61,7 +61,7 @@
 
 
 class RetryReason(enum.Enum):
-    """Why a request was sent to a target once more."""
+    """Why another attempt of a request was made."""
 
     CONNECT_FAILED = "connect-failed"
     SHED_BY_TARGET = "shed-by-target"
@@ -77,7 +77,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ReasonRule:
-    """The HTTP status and the outcome that go with a refusal reason."""
+    """The HTTP status and the usual outcome of a refusal reason."""
 
     status: int
     outcome: Outcome
@@ -125,14 +125,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Refusal:
-    """Why agatetack answers a request itself.
+    """An answer from agatetack itself instead of a target.
 
     Attributes:
-        reason: The one reason, also the counter's label.
-        detail: One sentence for a person; no secrets.
-        outcome: What became of the request. It differs from the reason's
-            rule only where an earlier attempt made a "not run" unsafe.
-        retry_at: When the caller may ask again, or None.
+        reason: The reason; also the counter's label.
+        detail: One sentence for people; it must not contain secrets.
+        outcome: Whether the request ran. It differs from the reason's rule
+            only if, after an earlier attempt, "not run" could be untrue.
+        retry_at: When the caller may retry, or None.
     """
 
     reason: RefusalReason
@@ -148,23 +148,23 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class TicketRefusal(Refusal):
-    """A refusal about a ticket, which its caller may still poll.
+    """A refusal about a ticket that the caller may continue to poll.
 
     Attributes:
-        ticket: What to send in the ticket header along with the refusal.
+        ticket: Value of the ticket header that is sent with the refusal.
     """
 
     ticket: TicketId = TicketId("")
 
 
 PROMISING_STATUSES = frozenset({408, 421, 429, 503})
-"""Statuses that callers take as a promise that the request did not run."""
+"""Statuses from which callers conclude that the request did not run."""
 
 UNPROMISING_STATUS = 502
 
 
 def promised_status(status: int, outcome: Outcome) -> int:
-    """Return `status`, or one without its promise where it would be untrue."""
+    """Return `status`, or 502 if it would wrongly say that nothing ran."""
     if outcome is Outcome.NOT_RUN or status not in PROMISING_STATUSES:
         return status
     return UNPROMISING_STATUS
--- a/agatetack/start.py
+++ b/agatetack/start.py
@@ -15,17 +15,18 @@
 from agatetack.settings.start_checks import find_start_misfits
 
 CONFIG_VARIABLE = "AGATETACK_CONFIG"
-"""Names the settings file where the command line does not."""
+"""Environment variable with the path of the settings file; the command line
+takes precedence."""
 
 
 def start_gateway(config: str = "") -> int:
     """Serve callers until SIGTERM or SIGINT; return the exit status.
 
     Args:
-        config: The settings file; else the one that AGATETACK_CONFIG names.
+        config: The settings file; if empty, AGATETACK_CONFIG names it.
 
     Raises:
-        UserError: There is no such file, or its settings can't be used.
+        UserError: No file was given, or it can't be read or has errors.
     """
     config = config or os.environ.get(CONFIG_VARIABLE, "")
     if not config:
@@ -42,7 +43,7 @@
 
 
 def _check_early(listen: Endpoint) -> None:
-    """Give up an early listener that the settings do not name."""
+    """Close an early listener whose address is not that of the settings."""
     for address in early_listener.keep_only(listen.host, listen.port):
         PartLog("callers").warning(
             "%s names %s, and callers.listen is %s:%d.",
@@ -54,7 +55,7 @@
 
 
 def _run_daemon(settings: Settings, path: str) -> int:
-    # Each kind of daemon imports slices that the other never needs.
+    # Imported late, as each daemon needs modules that the other doesn't.
     if settings.platform.store.endpoint is None:
         from agatetack.daemon import run_gateway
 
--- a/agatetack/store_daemon.py
+++ b/agatetack/store_daemon.py
@@ -13,12 +13,12 @@
 from agatetack.store_gateway import StoreGateway
 
 CLOSE_SECONDS = 0.2
-"""Longest time for closing the store's connections at the end."""
+"""Longest time for closing the connections to the store on exit."""
 
 LIVE_SECTIONS = frozenset(
     {"platform", "lifecycle", "attempts", "callers", "logs"}
 )
-"""Sections of the settings that a running host takes anew."""
+"""Sections of the settings that a running host can reload."""
 
 log = DecisionLog("daemon")
 
@@ -28,7 +28,7 @@
 
     Args:
         settings: The host's settings.
-        path: The file that they came from.
+        path: The settings file, which is watched for changes.
 
     Returns:
         The exit status of the process: 0, or 1 if requests were cut.
--- a/agatetack/store_gateway.py
+++ b/agatetack/store_gateway.py
@@ -1,4 +1,4 @@
-"""Wire a host whose routes, targets and peers stand in a metadata store."""
+"""Build a host that reads routes, targets and peers from a metadata store."""
 
 import dataclasses
 import random
@@ -45,12 +45,12 @@
 from agatetack.targets.state import TargetState
 
 FIRST_READ_SECONDS = 0.25
-"""Longest time that a host which starts leaves callers waiting for its first
-read of the store, which takes 20 ms as a rule. After that it refuses them, so
-that they can ask another host."""
+"""Longest time that callers wait, while a host starts, for its first read of
+the store, which usually takes 20 ms. After that the host refuses requests, so
+that callers can try another host."""
 
 FIRST_READ_POLL_SECONDS = 0.005
-"""How often it looks whether it has read what it needs."""
+"""Interval at which a starting host checks whether that read is complete."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -64,19 +64,20 @@
 
 
 PROBE_CONNECTIONS = 1
-"""Connections to a target that a host keeps beside those for requests."""
+"""Connections that a host opens to a target for probes, in addition to those
+for requests."""
 
 
 class DocumentConnections(ConnectionLimit):
-    """This host's part of what the document says that targets accept."""
+    """Divides a target's connection limit in the document among all hosts."""
 
     def __init__(self, gateway: "StoreGateway"):
-        """Look at the document and at the hosts that `gateway` knows."""
+        """Use the document and the number of hosts known to `gateway`."""
         self.gateway = gateway
         self.own = SettingsConnectionLimit(gateway.settings)
 
     def limit_for(self, target: TargetState) -> int:
-        """Return this host's part; the number of the settings at most."""
+        """Return this host's share, at most the limit in the settings."""
         own = self.own.limit_for(target)
         info = self.gateway.documents.services.get(target.service)
         if info is None or not info.max_connections:
@@ -86,10 +87,10 @@
 
 
 class StoreReadiness(GatewayReadiness):
-    """What a host on a store must know before it takes requests."""
+    """Checks what a host on a store must know before it accepts requests."""
 
     def __init__(self, gateway: "StoreGateway"):
-        """Look at what `gateway` has read."""
+        """Check what `gateway` has read from the store."""
         super().__init__(gateway.routes, gateway.registry)
         self.gateway = gateway
 
@@ -102,18 +103,19 @@
     """One host on a metadata store; `run` serves until it is cancelled.
 
     Attributes:
-        store: The store.
-        generations: In which generation the store is.
+        store: The client of the store.
+        generations: Tracks the store's generation.
         documents: The operators' document in force.
         evacuations: The failure domains that operators evacuated.
-        targets: The targets that registered.
-        members: The hosts that registered.
-        followers: What keeps these three up to date.
-        seed_port: Where hosts that start ask this one; 0 if they can't.
+        targets: The registered targets.
+        members: The registered hosts.
+        followers: Readers of the topics that keep these up to date.
+        seed_port: Port on which this host sends starting hosts a copy of what
+            it has read; 0 if it doesn't listen.
     """
 
     def __init__(self, settings: Settings, clock: Clock | None = None):
-        """Build every slice; nothing runs before `run`.
+        """Build all components; `run` starts them.
 
         Args:
             settings: The host's settings; they name the store.
@@ -204,18 +206,18 @@
         )
 
     def readiness(self) -> ReadinessView:
-        """Return what this host must know before it takes requests."""
+        """Return the checks this host must pass before it takes requests."""
         return StoreReadiness(self)
 
     def reconfigure(self, settings: Settings) -> None:
-        """Take settings that changed, as far as a running host can."""
+        """Apply changed settings, as far as a running host can."""
         self.settings = settings
         self.lifecycle.settings = settings.lifecycle
         self.fleet_budget.set_limits(settings)
         self._limit_callers()
 
     def _limit_callers(self) -> None:
-        """Let callers do what the document in force says, or the settings."""
+        """Apply the callers' limits of the document, or of the settings."""
         callers = self.settings.callers
         limits = self.documents.limits
         if limits is not None:
@@ -230,7 +232,7 @@
         self.callers.limit(callers)
 
     def _bound_cold_targets(self) -> None:
-        """Take from the document what targets bear while they warm up."""
+        """Apply the warm-up rates in the document to the targets."""
         self.registry.set_warm_up_rates(
             {
                 info.id: info.warm_up_rate
@@ -239,11 +241,11 @@
         )
 
     def liveness_check(self) -> LivenessCheck:
-        """Return what tells a crashed target from one lost connection."""
+        """Return the check that tells a crash from one lost connection."""
         return ReportLivenessCheck(self.registry)
 
     def fleet_size(self) -> int | None:
-        """Return the number of hosts, never too low; None if not known."""
+        """Return an upper bound of the number of hosts; None if unknown."""
         return self.peers.fleet_size() if self.members.known else None
 
     async def run(
@@ -266,10 +268,10 @@
             )
 
     async def _read_store(self, nursery: trio.Nursery, port: int) -> None:
-        """Learn what is in the store, and register this host there.
+        """Read the store's topics, and register this host there.
 
         Args:
-            nursery: Runs what keeps it up to date.
+            nursery: Runs the tasks that follow the topics.
             port: This host's port for peers.
         """
         own = self.settings.host.id
@@ -280,10 +282,10 @@
         await self._until_configured()
 
     async def _until_configured(self) -> None:
-        """Wait a little for routes and targets before callers are served.
+        """Wait briefly for routes and targets before serving callers.
 
-        Callers that connected while this host was starting would be refused
-        otherwise, some 20 ms before they can be served.
+        Otherwise, callers that connected while this host was starting would
+        be refused about 20 ms before it can serve them.
         """
         readiness = self.readiness()
         with trio.move_on_after(FIRST_READ_SECONDS):
@@ -291,7 +293,7 @@
                 await trio.sleep(FIRST_READ_POLL_SECONDS)
 
     async def _start_status(self, nursery: trio.Nursery) -> tuple[int, int]:
-        """Serve readiness and counters; return their ports, or 0."""
+        """Serve readiness and metrics; return their ports, or 0 if off."""
         status = self.settings.status
         shows = [follower.show for follower in self.followers]
         wanted = (
@@ -313,5 +315,5 @@
         return ports[0], ports[1]
 
     async def aclose(self) -> None:
-        """Close the connections with the store."""
+        """Close the connections to the store."""
         await self.store.aclose()
--- a/agatetack/streams.py
+++ b/agatetack/streams.py
@@ -1,8 +1,9 @@
-"""Send and receive on plain TCP sockets at little cost.
+"""TCP streams with less overhead per call than trio's.
 
-trio's own stream guards against misuse on each call, which costs as much as
-the call itself. A connection here is used by one sender and one receiver, so
-the guards are left out; waiting and cancellation are trio's.
+trio's `SocketStream` checks for concurrent use on each call, which costs as
+much as the call itself. A connection here has only one sender and one
+receiver, so these streams omit the checks; they wait and are cancelled
+through trio.
 """
 
 import contextlib
@@ -15,18 +16,19 @@
 from agatetack.early_listener import take_listener
 
 LINGER_NONE = struct.pack("ii", 1, 0)
-"""Close with a reset, so that a cut answer can't look complete."""
+"""SO_LINGER value that makes a close send a reset, so that a truncated answer
+can't look complete."""
 
 
 class PlainStream(trio.abc.Stream):
     """One connected TCP socket.
 
     Attributes:
-        sock: The socket; it does not block.
+        sock: The non-blocking socket.
     """
 
     def __init__(self, sock: socket.socket):
-        """Take over `sock`, which is connected and does not block."""
+        """Take ownership of `sock`, which is connected and non-blocking."""
         self.sock = sock
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
 
@@ -47,9 +49,9 @@
                 raise self._translate(error) from error
 
     def send_nowait(self, data: bytes) -> int:
-        """Send what the socket takes now; return how many bytes it took.
+        """Send without waiting; return the number of bytes sent.
 
-        A connection that is lost takes none; the next `send_all` tells.
+        It is 0 if the connection is lost; the next `send_all` raises then.
         """
         try:
             return self.sock.send(data)
@@ -57,7 +59,7 @@
             return 0
 
     async def receive_some(self, max_bytes: int | None = 65536) -> bytes:
-        """Return bytes received, or `b""` at the end.
+        """Wait for bytes and return them, or `b""` at the end of the stream.
 
         Raises:
             trio.BrokenResourceError: The connection is lost.
@@ -73,7 +75,7 @@
                 raise self._translate(error) from error
 
     def receive_nowait(self, max_bytes: int = 65536) -> bytes | None:
-        """Return bytes that are here, `b""` at the end, or None.
+        """Return bytes without waiting: None if there are none, `b""` at EOF.
 
         Raises:
             trio.BrokenResourceError: The connection is lost.
@@ -96,13 +98,13 @@
         return trio.BrokenResourceError(str(error))
 
     async def wait_send_all_might_not_block(self) -> None:
-        """Wait until something can be sent."""
+        """Wait until the socket is writable."""
         await self._wait(trio.lowlevel.wait_writable)
 
     def send_eof(self) -> None:
-        """Tell the other end that nothing more is sent; it may go on."""
+        """Shut down the sending side; the other end may continue to send."""
         with contextlib.suppress(OSError):
-            # It fails if the other end reset the connection.
+            # This fails if the other end reset the connection.
             self.sock.shutdown(socket.SHUT_WR)
 
     async def aclose(self) -> None:
@@ -113,7 +115,7 @@
     def close(self) -> None:
         """Close the socket at once."""
         if self.sock.fileno() >= 0:
-            # A task that waits for the socket is woken with an error.
+            # Tasks that wait for the socket get a ClosedResourceError.
             trio.lowlevel.notify_closing(self.sock)
             self.sock.close()
 
@@ -129,7 +131,7 @@
         )
 
     def has_unread(self) -> bool:
-        """Return whether bytes, or the end, are here and not yet read."""
+        """Return whether received bytes, or the end, have not been read."""
         if self.sock.fileno() < 0:
             return False
         poller = select.poll()
@@ -137,7 +139,7 @@
         return bool(poller.poll(0))
 
     def abort_on_close(self) -> None:
-        """Make the later close a reset."""
+        """Make the next close send a reset."""
         if self.sock.fileno() >= 0:
             self.sock.setsockopt(
                 socket.SOL_SOCKET, socket.SO_LINGER, LINGER_NONE
@@ -153,7 +155,7 @@
     """
 
     def __init__(self, ip: str, port: int, backlog: int):
-        """Listen on an IP number; port 0 lets the kernel choose.
+        """Listen on an IP address; port 0 lets the kernel choose one.
 
         Raises:
             OSError: The address can't be listened on.
@@ -166,7 +168,7 @@
         """Return the next connection.
 
         Raises:
-            OSError: None could be accepted, as for lack of descriptors.
+            OSError: Accepting failed, for example for lack of descriptors.
         """
         while True:
             await trio.lowlevel.wait_readable(self.sock)
@@ -175,10 +177,10 @@
                 return stream
 
     def accept_nowait(self) -> PlainStream | None:
-        """Return a connection that waits to be accepted, or None.
+        """Return a connection without waiting, or None if there is none.
 
         Raises:
-            OSError: It could not be accepted, as for lack of descriptors.
+            OSError: Accepting failed, for example for lack of descriptors.
         """
         try:
             sock, _ = self.sock.accept()
@@ -188,13 +190,13 @@
         return PlainStream(sock)
 
     def close(self) -> None:
-        """Listen no more."""
+        """Stop listening."""
         trio.lowlevel.notify_closing(self.sock)
         self.sock.close()
 
 
 async def open_plain_stream(ip: str, port: int) -> PlainStream:
-    """Connect to an IP number and return the stream.
+    """Connect to an IP address and return the stream.
 
     Raises:
         OSError: The connection could not be opened.
@@ -217,5 +219,5 @@
         await trio.lowlevel.wait_writable(sock)
     code = sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
     if code:
-        # The class of the error follows from its number.
+        # OSError picks its subclass, such as ConnectionRefusedError, by code.
         raise OSError(code, f"cannot connect to {ip} port {port}")
--- a/agatetack/test_daemon.py
+++ b/agatetack/test_daemon.py
@@ -1,4 +1,4 @@
-"""Check whole hosts, each a process of its own, under failure."""
+"""Test whole hosts, each in its own process, under failures."""
 
 import contextlib
 import signal
@@ -29,7 +29,7 @@
 
 @contextlib.asynccontextmanager
 async def serving(folder, names, gateways=2, seconds=0.002, **overrides):
-    """Start a fleet whose routes are in force on every gateway."""
+    """Start a fleet and wait until the routes are in force on all gateways."""
     with running_fleet(folder, names, seconds) as fleet:
         for _ in range(gateways):
             await trio.to_thread.run_sync(
@@ -42,7 +42,7 @@
 
 
 async def settled_outcome(http, gateway, key):
-    """Return what a second sender of a key is told in the end."""
+    """Return the final outcome that a second request with a key gets."""
     with trio.fail_after(5):
         while True:
             response = await http.request(
@@ -87,7 +87,7 @@
 
 
 class Payouts:
-    """Sends the same keys to a gateway, and to another later on."""
+    """Sends requests with the same keys to one gateway, then to another."""
 
     def __init__(self, fleet: Fleet, http, count):
         self.fleet = fleet
@@ -115,7 +115,7 @@
             self.not_run.add(key)
 
     def check(self):
-        """Check that no key ran twice, and none that was called not run."""
+        """Check that no key ran twice, or although it was reported not-run."""
         for key in self.keys:
             runs = self.fleet.stand_ins.command(executions=key).executions
             assert runs <= 1, key
--- a/agatetack/test_docs.py
+++ b/agatetack/test_docs.py
@@ -1,4 +1,4 @@
-"""Test that the pages name only what there is, and all that they should."""
+"""Test that the docs name only things that exist, and all they should."""
 
 import dataclasses
 import importlib.util
@@ -43,14 +43,14 @@
 
 
 def read_sources() -> Iterator[str]:
-    """Give the text of each module of the product."""
+    """Yield the source of each module, without tests and generated code."""
     for path in (ROOT / "agatetack").rglob("*.py"):
         if not path.name.startswith("test_") and "generated" not in path.parts:
             yield path.read_text()
 
 
 def find_counters() -> set[str]:
-    """Return the names of all counters and gauges that the code makes."""
+    """Return the names of all metrics in the code."""
     named = re.compile(r'"(agatetack_[a-z_]+)"')
     found = {name for text in read_sources() for name in named.findall(text)}
     for name in ("callers", "operators"):
@@ -63,14 +63,14 @@
     value = default_layer()
     for key in path.split("."):
         if not isinstance(value, Mapping):
-            # Below a null or a list: a part that the default leaves out.
+            # The key is inside a null or a list, so it has no default.
             return None
         value = value[key]
     return value
 
 
 def table_rows(page: pathlib.Path) -> Iterator[tuple[str, list[str]]]:
-    """Give each row of a page's tables with the title row of its table."""
+    """Yield each row of a page's tables with the title row of its table."""
     lines = page.read_text().splitlines()
     for is_table, group in itertools.groupby(lines, lambda t: t[:1] == "|"):
         if is_table:
@@ -83,10 +83,10 @@
 
 
 def named_settings() -> Iterator[tuple[str, str, str | None]]:
-    """Give each setting that an operators' page names, with its default.
+    """Yield each setting that an operators' page names, with its default.
 
-    A page names a section in the title of a table or of its heading, as in
-    "Settings (`claims`)", and a cell may name it for the names behind it.
+    A page names the section in a title, as in "Settings (`claims`)". A cell
+    with a full name also sets the section of the names after it.
     """
     for page in OPERATORS_PAGES:
         found = re.search(r"Settings? \(`([a-z_]+)[.:]*`\)", page.read_text())
@@ -108,7 +108,7 @@
 
 
 def label_values(pattern: str) -> set[str]:
-    """Return the values of labels that the operators' pages name."""
+    """Return the label values that the operators' pages name."""
     pages = "\n".join(page.read_text() for page in OPERATORS.glob(pattern))
     return set(re.findall(r'[`"]([a-z-]+)[`"]', pages))
 
@@ -149,7 +149,7 @@
         if default not in (None, shown):
             wrong.append(f"{page}: {name} is {shown}, not {default}")
     assert not wrong
-    # The tables of all pages were read, not one of them.
+    # The number shows that the tables of all pages were read.
     assert len(seen) > 90
 
 
@@ -203,7 +203,7 @@
 
 
 def shown_default(value: object) -> str:
-    """Return a route's default as the page gives it."""
+    """Return a route's default as the page writes it."""
     if value is dataclasses.MISSING:
         return ""
     if value == ():
--- a/agatetack/test_explain_log.py
+++ b/agatetack/test_explain_log.py
@@ -1,4 +1,4 @@
-"""Test the story of a request from the lines of its hosts."""
+"""Test the decision trace that is assembled from several hosts' log lines."""
 
 import io
 
--- a/agatetack/test_gateway.py
+++ b/agatetack/test_gateway.py
@@ -1,4 +1,4 @@
-"""Check one promise after the other over real connections."""
+"""Test a host's guarantees one by one, over real connections."""
 
 import random
 
@@ -89,7 +89,8 @@
             await fleet.get("/x", gateway=number)
             await trio.sleep(0.005)
         before = len(leaving.executed)
-        # Its health may lie that it is well; that brings nothing back.
+        # The leaving target must get no requests even if its health check
+        # wrongly reports that it is ready.
         leaving.faults.reported_state = "ready"
         for number in range(100):
             response = await fleet.get("/x", gateway=number)
--- a/agatetack/test_http_call.py
+++ b/agatetack/test_http_call.py
@@ -1,4 +1,4 @@
-"""Test what a call says of a failure, against a faulty server."""
+"""Test what failed calls report, using a server with injected faults."""
 
 import pytest
 import trio
@@ -15,7 +15,7 @@
 TRY_SECONDS = 0.1
 PATIENCE_SECONDS = 5
 HUGE_BODY = b"x" * (32 << 20)
-"""More than the kernel takes while nobody reads."""
+"""More than the kernel buffers while the other end doesn't read."""
 
 
 @pytest.fixture
@@ -70,7 +70,7 @@
     with pytest.raises(CallFailed) as caught:
         await call(caller, path, seconds, body)
     assert caught.value.sent is sent
-    # Nothing is ever sent twice.
+    # Requests are never retried.
     assert len(server.executed) <= 1
 
 
--- a/agatetack/test_logs.py
+++ b/agatetack/test_logs.py
@@ -1,4 +1,4 @@
-"""Test what log lines look like and how often they are written."""
+"""Test the format of log lines and the limit on their rate."""
 
 import json
 import logging as std_logging
@@ -24,7 +24,7 @@
         self.lines = []
 
     def emit(self, record):
-        """Keep one line."""
+        """Store one line."""
         self.lines.append(self.format(record))
 
 
@@ -193,7 +193,7 @@
 
 @pytest.fixture
 def pipe():
-    """Give a pipe whose reader and writer are closed in the end."""
+    """Yield a pipe whose reader and writer are closed after the test."""
     reader, writer = os.pipe()
     yield reader, writer
     os.close(reader)
@@ -208,7 +208,7 @@
     monkeypatch.setattr(log_writer, "MAX_WAITING", 2)
     reader, end = pipe
     writer = LogWriter(std_logging.Formatter(), end)
-    # These lines are more than the pipe and the queue hold.
+    # These lines exceed the capacity of the pipe and the queue.
     for _ in range(100):
         writer.handle(make_record("x" * 10_000))
     assert writer.dropped > 0
--- a/agatetack/test_start.py
+++ b/agatetack/test_start.py
@@ -1,8 +1,9 @@
-"""Test what a host on a store loads before it serves its first request.
+"""Limit the modules that a host on a store loads before it serves requests.
 
-The pattern: power returns to hundreds of hosts at once, on machines of half a
-core. Modules being loaded are most of the time in which nobody is served.
-Counts stand for that time here, as they are the same on any machine.
+When power returns to hundreds of hosts at once, on machines of half a core,
+loading modules takes most of the time in which no requests are served. These
+tests count modules instead of measuring that time, because the counts are the
+same on all machines.
 """
 
 import json
@@ -17,10 +18,10 @@
 )
 
 MOST_MODULES = 620
-"""Modules that a start may load, those of Python itself included."""
+"""Most modules that a start may load, including Python's own."""
 
 MOST_OWN_MODULES = 185
-"""The same of the project's own."""
+"""Most of this project's modules that a start may load."""
 
 
 @pytest.fixture(scope="module")
--- a/agatetack/test_store_daemon.py
+++ b/agatetack/test_store_daemon.py
@@ -1,4 +1,4 @@
-"""Test the daemon as a process of its own on the stand-in of the store."""
+"""Test the daemon in a separate process with a fake store."""
 
 import array
 import contextlib
@@ -31,14 +31,14 @@
 PATIENCE_SECONDS = 20
 
 PIPE_BYTES = 4096
-"""The least that a pipe holds."""
+"""Smallest capacity of a pipe."""
 
 LINE_BYTES = 500
-"""More than any line has here."""
+"""More than the length of any log line in these tests."""
 
 
 class Daemon:
-    """One daemon and what it has written."""
+    """A daemon's process and its log lines."""
 
     def __init__(self, process):
         self.process = process
@@ -48,7 +48,7 @@
         self.may_read.set()
 
     def pause(self):
-        """Read no more of the output, of which the kernel keeps 4 KB."""
+        """Stop reading the output; the kernel buffers at most 4 KB of it."""
         self.may_read = trio.Event()
         fcntl.fcntl(self.process.stdout, fcntl.F_SETPIPE_SZ, PIPE_BYTES)
 
@@ -70,7 +70,7 @@
                 self.changed = trio.Event()
 
     async def line(self, **fields):
-        """Return the first line with these fields, once it is written."""
+        """Wait for a line with these fields, and return it."""
         with trio.fail_after(PATIENCE_SECONDS):
             while True:
                 for line in self.lines:
@@ -160,7 +160,7 @@
         await wait_ready(start["ready"])
         port = start["callers"]
         daemon.pause()
-        # Each of these writes a line, as it was refused.
+        # Each of these requests is refused, which writes a log line.
         for number in range(200):
             assert await ask(port, "/b/x", f"lost-{number}") == 404
         with trio.fail_after(PATIENCE_SECONDS):
@@ -175,8 +175,8 @@
         async with trio.open_nursery() as nursery:
             for _ in range(10):
                 nursery.start_soon(ask_some)
-        # The target was slow for none of them, and no answer came too late
-        # for its route, though nothing was written all the while.
+        # All requests are answered within their route's timeout, although no
+        # log line can be written meanwhile.
         assert statuses == [200] * 200
         assert daemon.is_stalled()
         daemon.may_read.set()
--- a/agatetack/test_store_gateway.py
+++ b/agatetack/test_store_gateway.py
@@ -1,4 +1,4 @@
-"""Test a whole host on stand-ins of the platform's store and servers."""
+"""Test a whole host with a fake store and fake servers of the platform."""
 
 import socket
 
@@ -83,7 +83,7 @@
 
 
 def make_entry(fleet):
-    """Return an entry in front of a fleet's hosts."""
+    """Return a fake entry load balancer in front of a fleet's hosts."""
     hosts = [
         EntryHost(
             gateway.settings.host.id,
@@ -114,7 +114,8 @@
             stopped.stops.send_nowait(15)
             nursery.start_soon(stopped.lifecycle.drain_on, stopped.stops_out)
             await fleet.until(lambda: not first.in_rotation)
-            # What the entry sends before it has noticed is served, too.
+            # Requests that the entry sends before it notices the drain are
+            # served, too.
             assert (await fleet.get("/a/x", number)).status == 200
             second = entry.choose("client", "zone-a")
             assert second is not first
@@ -145,7 +146,7 @@
             seen = other.registry.by_id[target.instance]
             await fleet.until(lambda: seen.peer_in_flight == 1)
         await fleet.until(lambda: seen.peer_in_flight == 0)
-        # One of the two probes the target, the other hears of its load.
+        # One host probes the target and reports its load to the other.
         await fleet.until(lambda: target.probes > 3)
         await fleet.until(
             lambda: all(
@@ -200,15 +201,15 @@
 async def test_a_request_whose_caller_has_gone_is_not_begun(kind):
     async with store_fleet(route_fields(route_type=kind)) as fleet:
         address = (LOOPBACK, fleet.ports[0].callers)
-        # Without a pause between, so that the host finds the request and the
-        # end of its connection together, as when it was held up.
+        # The request and the end of the connection follow without a pause, so
+        # that the host reads both at once, as after a delay.
         with socket.create_connection(address) as caller:
             caller.sendall(
                 b"GET /a/x HTTP/1.1\r\nhost: a.example\r\n"
                 b"request-id: r7\r\nrequest-timeout-ms: 5000\r\n\r\n"
             )
             caller.shutdown(socket.SHUT_WR)
-            # Longer than it takes to read, which nothing announces.
+            # Longer than the host needs to read both; no event shows that.
             await trio.sleep(0.1)
             connections = fleet.gateways[0].callers.connections
             await fleet.until(lambda: not connections)
@@ -253,7 +254,8 @@
             assert ran == (2 if status == 200 else 0)
 
 
-# Guards against 404 for a route added after the store gave offsets again.
+# Guards against answers of 404 for a route that was added after the store had
+# lost records and assigned their offsets again.
 async def test_a_route_added_after_the_store_lost_records_is_served():
     async with store_fleet(gateways=2) as fleet:
         copy = fleet.store.copy()
@@ -287,7 +289,7 @@
     ("hosts", "most"), [(1, 15), (14, 14), (55, 3), (110, 1), (400, 1)]
 )
 async def test_a_host_keeps_its_part_of_a_targets_connections(hosts, most):
-    # The document says that targets accept 220 from all hosts.
+    # The document allows 220 connections to a target from all hosts.
     async with store_fleet() as fleet:
         gateway = fleet.gateways[0]
         gateway.peers.fleet_size = lambda: hosts
--- a/agatetack/test_streams.py
+++ b/agatetack/test_streams.py
@@ -1,4 +1,4 @@
-"""Check plain streams against trio's own checks of streams."""
+"""Run trio's generic stream tests on plain streams."""
 
 import socket
 
--- a/agatetack/test_thrift_codec.py
+++ b/agatetack/test_thrift_codec.py
@@ -1,4 +1,4 @@
-"""Test that a message of another host is whole, or is refused by one error."""
+"""Test that an incomplete or malformed message raises `MalformedMessage`."""
 
 import pytest
 from hypothesis import given, settings
@@ -30,11 +30,11 @@
     targets.TargetDrain("t1", True, 1),
     targets.TargetDrains([targets.TargetDrain("t1", True, 1)]),
 ]
-"""A message of each kind that hosts send each other outside requests."""
+"""One message of each type that hosts exchange, except requests."""
 
 
 def required_fields(message):
-    """Return the fields without which a message is not whole."""
+    """Return the required fields of a message."""
     found = []
     for name in message.__slots__:
         value = getattr(message, name)
--- a/agatetack/test_tls.py
+++ b/agatetack/test_tls.py
@@ -1,4 +1,4 @@
-"""Test that certificates are read again when their files change."""
+"""Test that certificates are reloaded when their files change."""
 
 import contextlib
 import os
@@ -32,7 +32,7 @@
         self.renew()
 
     def renew(self, *names):
-        """Write all files anew, or those of `names` only."""
+        """Write new versions of all files, or only those in `names`."""
         self.version += 1
         authority = trustme.CA()
         issued = authority.issue_cert("127.0.0.1")
@@ -43,7 +43,7 @@
         }
         for name in names or blobs:
             blobs[name].write_to_path(self.paths[name])
-            # The clock of some file systems is too coarse for a test.
+            # Some file systems' timestamps are too coarse for a test.
             os.utime(self.paths[name], (self.version, self.version))
 
     def files(self):
@@ -140,7 +140,7 @@
 
 
 async def exchange(nursery, server, client):
-    """Return what a peer answers; nothing if either side refuses."""
+    """Return a peer's answer; `b""` if either side refuses the connection."""
 
     async def answer(stream):
         async with server.accept_stream(stream) as secure:
@@ -173,7 +173,7 @@
         (tmp_path / side).mkdir()
         sides[side] = Authority(tmp_path / side)
     paths = {side: dict(sides[side].paths) for side in sides}
-    # Only the stranger's certificate is of an authority not trusted.
+    # Only the stranger's certificate has an untrusted authority.
     trusted = "client" if stranger == "server" else "server"
     paths[stranger]["authority"] = paths[trusted]["authority"]
     metrics = Metrics()
--- a/agatetack/thrift_codec.py
+++ b/agatetack/thrift_codec.py
@@ -1,4 +1,4 @@
-"""Read and write Thrift messages between hosts, with their fields checked."""
+"""Encode and decode Thrift messages between hosts, and check their fields."""
 
 import functools
 from typing import TypeVar
@@ -16,20 +16,20 @@
 
 
 class MalformedMessage(ValueError):
-    """Bytes are no message of the kind that was expected."""
+    """Bytes are not a complete message of the expected type."""
 
 
 class Codec:
-    """Reads and writes messages as compact Thrift.
+    """Encodes and decodes messages in Thrift's compact protocol.
 
     Attributes:
-        protocol: The library's codec. It is made once, as making it takes
-            three times as long as reading a message of 30 bytes with it, and a
-            host reads some hundred of them a second.
+        protocol: The library's codec. It is reused, because creating it takes
+            three times as long as decoding a message of 30 bytes with it, and
+            a host decodes about a hundred of these per second.
     """
 
     def __init__(self) -> None:
-        """Make the library's codec."""
+        """Create the library's codec."""
         self.protocol = self._new_protocol()
 
     def _new_protocol(self) -> TCompactProtocolAccelerated:
@@ -43,17 +43,17 @@
         return buffer.getvalue()
 
     def read_into(self, message: Message, payload: bytes) -> Message:
-        """Fill `message` from `payload`, whose fields are not checked yet.
+        """Decode `payload` into `message` without checking its fields.
 
         Raises:
-            MalformedMessage: The bytes are no such message.
+            MalformedMessage: The bytes can't be decoded.
         """
         self.protocol.trans = TMemoryBuffer(payload)
         try:
             message.read(self.protocol)
         except Exception as error:
-            # Thrift raises errors of many kinds for bytes that aren't its own,
-            # and may leave its codec amid a message.
+            # Thrift raises many types of errors for malformed bytes, and its
+            # codec may be left in the middle of a message.
             self.protocol = self._new_protocol()
             raise _malformed(message, error) from error
         return message
@@ -63,32 +63,32 @@
 
 
 def encode(message: object) -> bytes:
-    """Return a message as compact Thrift."""
+    """Encode a message in Thrift's compact protocol."""
     return CODEC.write(message)
 
 
 def decode(kind: type[Message], payload: bytes) -> Message:
-    """Return the message in `payload`, all its parts complete.
+    """Decode a message and check that it and all nested ones are complete.
 
-    The decoder leaves out fields that are absent or of another type. A part
-    that lacks a required one would fail wherever it is used, in a task that
-    serves other messages, too.
+    The library's decoder skips fields that are absent or of a wrong type. A
+    nested message without a required field would otherwise cause an error
+    where it is used, in a task that also handles other messages.
 
     Raises:
-        MalformedMessage: It is none of `kind`, or a required field of it or
-            of a part is missing.
+        MalformedMessage: `payload` is not a message of type `kind`, or it or
+            a nested message lacks a required field.
     """
     message = CODEC.read_into(kind(), payload)
     try:
         check(message)
     except Exception as error:
-        # A missing field, or a text that is none.
+        # A missing field, or a string that is not text.
         raise _malformed(message, error) from error
     return message
 
 
 def check(message: object) -> None:
-    """Raise an error of Thrift unless a message and its parts are complete."""
+    """Raise a Thrift error if a message or a nested one lacks a field."""
     message.validate()
     for name in _fields_with_parts(type(message)):
         value = getattr(message, name)
@@ -100,7 +100,7 @@
 
 @functools.cache
 def _fields_with_parts(kind: type) -> tuple[str, ...]:
-    """Return the fields that hold another message, or a list of them."""
+    """Return the fields whose type is a message or a list of messages."""
     found = []
     for field in kind.thrift_spec:
         if field is None:
--- a/agatetack/tls.py
+++ b/agatetack/tls.py
@@ -1,4 +1,4 @@
-"""Speak TLS with certificates that are read again when their files change."""
+"""TLS contexts whose certificates are reloaded when their files change."""
 
 import abc
 import os
@@ -12,17 +12,17 @@
 from agatetack.settings.model import TlsFiles
 
 POLL_SECONDS = 5.0
-"""How often the files are looked at."""
+"""Interval at which the files are checked for changes."""
 
 log = PartLog("tls")
 
 
 class TlsFilesError(SettingsError):
-    """PEM files cannot be read, or do not fit together."""
+    """PEM files can't be read, or don't match each other."""
 
 
 class ReloadedTls(abc.ABC):
-    """The TLS of one listener or of one kind of calls.
+    """A TLS context of a listener or client, reloaded from its files.
 
     Attributes:
         current: The context that was loaded last.
@@ -33,11 +33,11 @@
 
         Args:
             files: PEM files.
-            name: What it is for, such as `callers`; in logs and counters.
+            name: Name of its use, such as `callers`, for logs and metrics.
             metrics: Counts loads and failures.
 
         Raises:
-            TlsFilesError: The files cannot be read, or do not fit together.
+            TlsFilesError: The files can't be read, or don't match each other.
         """
         self.files = files
         self.name = name
@@ -49,21 +49,21 @@
         self.current = self._load()
 
     async def run(self) -> None:
-        """Load the files again whenever they change; keep what works."""
+        """Reload the files when they change; keep the old context on errors."""
         while True:
             await trio.sleep(POLL_SECONDS)
             self.reload()
 
     def reload(self) -> None:
-        """Load the files if they have changed and fit together."""
+        """Load the files if they have changed and match each other."""
         stamp = self._read_stamp()
         if stamp is None or stamp == self.stamp:
             return
         try:
             self.current = self._load()
         except TlsFilesError as error:
-            # The files may be replaced one after the other, so the same
-            # stamp is tried again at the next look.
+            # The files may be replaced one after the other, so the stamp is
+            # not stored and the next check tries them again.
             self.loads.inc({"result": "failed"})
             log.warning(
                 "The certificate of %s was not loaded: %s", self.name, error
@@ -73,7 +73,7 @@
         log.info("The certificate of %s was loaded again.", self.name)
 
     def _read_stamp(self) -> tuple[int, ...] | None:
-        """Return the files' times of change, or None if one is missing."""
+        """Return the files' modification times, or None if one is missing."""
         paths = (self.files.certificate, self.files.key, self.files.authority)
         try:
             return tuple(os.stat(path).st_mtime_ns for path in paths if path)
@@ -111,11 +111,11 @@
 
 
 class ServerTls(ReloadedTls):
-    """The TLS of one listener; with an authority, clients need certificates.
+    """TLS of one listener; with an authority, clients need certificates.
 
     Attributes:
-        context: What the listener uses; it hands each handshake to the
-            context that was loaded last.
+        context: The listener's context. Its SNI callback switches each
+            handshake to the context that was loaded last.
     """
 
     def __init__(self, files: TlsFiles, name: str, metrics: Metrics):
@@ -140,17 +140,18 @@
 
     def _new_context(self) -> ssl.SSLContext:
         context = ssl.create_default_context(ssl.Purpose.CLIENT_AUTH)
-        # Both protocols of hypercorn would do; one keeps it simple.
+        # hypercorn would also support HTTP/2; one protocol is simpler.
         context.set_alpn_protocols(["http/1.1"])
         return context
 
 
 class ClientTls(ReloadedTls):
-    """The TLS of calls to peers, which prove that they belong to the fleet.
+    """TLS of calls to peers, whose certificates prove that they are peers.
 
-    The authority is the fleet's own: whoever holds a certificate of it is a
-    peer. Names are not checked, since hosts are replaced at any time and are
-    reached by IP numbers that no certificate could list in advance.
+    The authority is private to the fleet, so every holder of a certificate of
+    it is a peer. Host names are not checked: hosts are replaced at any time
+    and are reached by IP addresses, which no certificate could list in
+    advance.
     """
 
     def __init__(self, files: TlsFiles, name: str, metrics: Metrics):
@@ -177,7 +178,7 @@
 
 
 def _no_password() -> str:
-    """Refuse an encrypted key, for which OpenSSL would ask the terminal."""
+    """Reject an encrypted key, as OpenSSL would ask for its password."""
     raise ValueError("the key is encrypted")
 
 
--- a/agatetack/unique.py
+++ b/agatetack/unique.py
@@ -1,4 +1,4 @@
-"""Make names that no other process and no earlier start can make."""
+"""Generate names that are unique over all processes and restarts."""
 
 import itertools
 import os
@@ -12,12 +12,12 @@
 def unique_name() -> str:
     """Return a name that is unique over all hosts and restarts.
 
-    A random prefix for each process and a count within it; drawing random
-    bits for each name would cost a system call.
+    It consists of a random prefix for each process and a counter. Random bits
+    for each name would cost a system call each time.
     """
     return f"{_prefix}-{next(_numbers):x}"
 
 
 def new_attempt_id() -> AttemptId:
-    """Return an id of an attempt."""
+    """Return a new, unique attempt id."""
     return AttemptId(unique_name())
