--- a/agatetack/attempts/probing_admission.py
+++ b/agatetack/attempts/probing_admission.py
@@ -146,7 +146,7 @@
         self.probes.inc({"result": verdict.value})
         if verdict is not Verdict.ABLE:
             decisions.held(
-                wanted.request.story,
+                wanted.request.decision_trace,
                 "passed-over",
                 target=target.id,
                 why=verdict.value,
--- a/agatetack/attempts/single.py
+++ b/agatetack/attempts/single.py
@@ -227,7 +227,7 @@
         target = permit.target
         report = target.report
         decisions.held(
-            plan.request.story,
+            plan.request.decision_trace,
             "send",
             target=target.id,
             why=plan.retry_reason.value if plan.retry_reason else "first",
@@ -243,7 +243,7 @@
         self, plan: AttemptPlan, note: AttemptNote, outcome: str
     ) -> None:
         decisions.held(
-            plan.request.story,
+            plan.request.decision_trace,
             "attempt-end",
             target=note.target,
             outcome=outcome,
--- a/agatetack/commands.py
+++ b/agatetack/commands.py
@@ -104,13 +104,13 @@
         file: JSON lines of any number of hosts; - is standard input.
         request: The request's id.
     """
-    from agatetack.explain_log import read_story, render_story
+    from agatetack.explain_log import read_trace, render_trace
 
-    story = read_story(file, request)
-    if not story.lines:
+    trace = read_trace(file, request)
+    if not trace.lines:
         complain(f"{file}: no line is of request {request}")
         return EXIT_REFUSED
-    print(render_story(story))
+    print(render_trace(trace))
     return EXIT_OK
 
 
--- a/agatetack/decisions.py
+++ b/agatetack/decisions.py
@@ -49,7 +49,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Story:
+class DecisionTrace:
     """The decisions about one request, oldest first.
 
     Attributes:
@@ -131,18 +131,22 @@
             fields["left_out"] = left_out
         _write(self.part, event, fields)
 
-    def held(self, story: Story, event: str, **fields: object) -> None:
+    def held(
+        self, decision_trace: DecisionTrace, event: str, **fields: object
+    ) -> None:
         """Buffer a decision about a request until the request ends."""
         if not switch.enabled:
             return
-        if len(story.decisions) >= MOST_HELD:
-            story.left_out += 1
+        if len(decision_trace.decisions) >= MOST_HELD:
+            decision_trace.left_out += 1
             return
-        story.decisions.append(Decision(self.part, event, time.time(), fields))
+        decision_trace.decisions.append(
+            Decision(self.part, event, time.time(), fields)
+        )
 
     def finish(
         self,
-        story: Story,
+        decision_trace: DecisionTrace,
         importance: Importance,
         request: str,
         **fields: object,
@@ -150,20 +154,20 @@
         """Write the decisions about a request that has ended.
 
         Args:
-            story: The decisions.
+            decision_trace: The decisions.
             importance: Whether the request failed or is subject to sampling.
             request: The request's id.
             **fields: The result of the request.
         """
         if not switch.enabled:
             return
-        if not switch.take(importance, len(story.decisions) + 1):
+        if not switch.take(importance, len(decision_trace.decisions) + 1):
             return
-        for decision in story.decisions:
+        for decision in decision_trace.decisions:
             fields_of = {"request": request, **decision.fields}
             _write(decision.part, decision.event, fields_of, decision.wall)
-        if story.left_out:
-            fields["left_out"] = story.left_out
+        if decision_trace.left_out:
+            fields["left_out"] = decision_trace.left_out
         _write(self.part, "end", {"request": request, **fields})
 
 
--- a/agatetack/explain_log.py
+++ b/agatetack/explain_log.py
@@ -9,17 +9,17 @@
 
 from agatetack.errors import UserError
 
-ORDER = {"send": 0, "attempt-end": 1, "end": 2}
+EVENT_ORDER = {"send": 0, "attempt-end": 1, "end": 2}
 """Order of a request's lines that have the same time; others come first."""
 
 STANDARD_INPUT = "-"
 
-LEFT_OUT = frozenset({"time", "level", "part", "event", "text", "request"})
+HIDDEN_FIELDS = frozenset({"time", "level", "part", "event", "text", "request"})
 """Fields that are not repeated in the list of a line's fields."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class StoryLine:
+class TraceLine:
     """One line of a decision trace.
 
     Attributes:
@@ -37,7 +37,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Story:
+class RequestTrace:
     """The decision trace of one request.
 
     Attributes:
@@ -45,18 +45,18 @@
         unread: Number of lines that contain its id but no JSON object.
     """
 
-    lines: Sequence[StoryLine]
-    unread: int
+    lines: Sequence[TraceLine]
+    unparsed_count: int
 
 
-def read_story(file: str, request: str) -> Story:
+def read_trace(file: str, request: str) -> RequestTrace:
     """Return the decision trace of `request` from the lines of `file`.
 
     Raises:
         UserError: The file can't be read.
     """
-    found: list[StoryLine] = []
-    unread = 0
+    found: list[TraceLine] = []
+    unparsed_count = 0
     for text in _lines_of(file):
         if request not in text:
             continue
@@ -64,12 +64,12 @@
         if line is not None:
             found.append(line)
         elif "{" not in text:
-            unread += 1
-    found.sort(key=lambda line: (line.time, ORDER.get(line.event, -1)))
-    return Story(found, unread)
+            unparsed_count += 1
+    found.sort(key=lambda line: (line.time, EVENT_ORDER.get(line.event, -1)))
+    return RequestTrace(found, unparsed_count)
 
 
-def read_line(text: str, request: str) -> StoryLine | None:
+def read_line(text: str, request: str) -> TraceLine | None:
     """Parse a line about `request`; return None if it is not about it.
 
     Args:
@@ -84,21 +84,23 @@
     if not isinstance(fields, dict) or fields.get("request") != request:
         return None
     event = fields.get("event") or fields.get("text") or ""
-    shown = {k: v for k, v in fields.items() if k not in LEFT_OUT}
-    return StoryLine(
+    shown = {k: v for k, v in fields.items() if k not in HIDDEN_FIELDS}
+    return TraceLine(
         str(fields.get("time", "")), source.strip(), str(event), shown
     )
 
 
-def render_story(story: Story) -> str:
+def render_trace(trace: RequestTrace) -> str:
     """Return a decision trace as text, with a line for each decision."""
     rows = []
-    for line in story.lines:
+    for line in trace.lines:
         fields = " ".join(f"{k}={v}" for k, v in line.fields.items())
         parts = [line.time, line.source, line.event, fields]
         rows.append("  ".join(part for part in parts if part))
-    if story.unread:
-        rows.append(f"{story.unread} lines that name it could not be read")
+    if trace.unparsed_count:
+        rows.append(
+            f"{trace.unparsed_count} lines that name it could not be read"
+        )
     return "\n".join(rows)
 
 
--- a/agatetack/messages.py
+++ b/agatetack/messages.py
@@ -5,7 +5,7 @@
 from collections.abc import Iterable, Sequence
 from typing import NamedTuple
 
-from agatetack.decisions import Story
+from agatetack.decisions import DecisionTrace
 from agatetack.ids import (
     AttemptId,
     CallerId,
@@ -167,7 +167,7 @@
         deadline_given: Whether the caller sent the deadline; otherwise it
             is the route's.
         attempts: Its attempts, in order.
-        story: The decisions about it, for the log.
+        decision_trace: The decisions about it, for the log.
     """
 
     request_id: RequestId
@@ -182,7 +182,9 @@
     arrived: Deadline
     deadline_given: bool = True
     attempts: list[AttemptNote] = dataclasses.field(default_factory=list)
-    story: Story = dataclasses.field(default_factory=Story)
+    decision_trace: DecisionTrace = dataclasses.field(
+        default_factory=DecisionTrace
+    )
 
     @property
     def replayable(self) -> bool:
--- a/agatetack/serving/dispatcher.py
+++ b/agatetack/serving/dispatcher.py
@@ -245,7 +245,7 @@
         """Log how a request ended and the decisions made about it."""
         now = trio.current_time()
         decisions.finish(
-            request.story,
+            request.decision_trace,
             importance,
             request.request_id,
             outcome=outcome,
