--- a/agatetack/hosts/http_host_list.py
+++ b/agatetack/hosts/http_host_list.py
@@ -15,7 +15,7 @@
 )
 from agatetack.http_call import (
     CallFailed,
-    PlatformCaller,
+    PlatformClient,
     PlatformReply,
     PlatformRequest,
 )
@@ -58,7 +58,7 @@
     def __init__(self, settings: Settings):
         """Create a client; it connects on first use."""
         self.settings = settings.platform.host_list
-        self.caller = PlatformCaller(
+        self.caller = PlatformClient(
             self.settings.endpoint, self.settings.timeout_seconds
         )
         self.hosts: Sequence[ListedHost] = ()
--- a/agatetack/http_call.py
+++ b/agatetack/http_call.py
@@ -67,19 +67,19 @@
 
 
 @dataclasses.dataclass(slots=True)
-class _Generation:
+class _PoolState:
     """A connection pool and its number of open calls.
 
     A retired pool is closed when its last call ends.
     """
 
     pool: "httpcore.AsyncConnectionPool"
-    calls: int = 0
+    open_calls: int = 0
     retired: bool = False
 
 
 @dataclasses.dataclass(slots=True)
-class _Progress:
+class _CallProgress:
     """The steps that one call has completed."""
 
     connected: bool = False
@@ -93,7 +93,7 @@
             self.sent = True
 
 
-class PlatformCaller:
+class PlatformClient:
     """Client of a platform service at one address.
 
     Concurrent calls use separate connections, so that a long-polling read
@@ -120,12 +120,12 @@
         host = f"[{endpoint.host}]" if ":" in endpoint.host else endpoint.host
         self.origin = f"http://{host}:{endpoint.port}"
         self.timeout_seconds = timeout_seconds
-        self.generation: _Generation | None = None
+        self.pool_state: _PoolState | None = None
 
     async def aclose(self) -> None:
         """Close all connections."""
-        if self.generation is not None:
-            await self.generation.pool.aclose()
+        if self.pool_state is not None:
+            await self.pool_state.pool.aclose()
 
     async def call(self, request: PlatformRequest) -> PlatformReply:
         """Send `request` once and return its complete reply.
@@ -137,33 +137,33 @@
         # host's data makes no call and need not load it.
         import httpcore
 
-        if self.generation is None:
-            self.generation = _Generation(_new_pool(self.silent_seconds))
-        generation = self.generation
-        progress = _Progress()
-        generation.calls += 1
+        if self.pool_state is None:
+            self.pool_state = _PoolState(_new_pool(self.silent_seconds))
+        pool_state = self.pool_state
+        progress = _CallProgress()
+        pool_state.open_calls += 1
         try:
             with trio.move_on_at(request.deadline):
-                return await self._exchange(generation, request, progress)
-            self._suspect(generation, progress)
+                return await self._exchange(pool_state, request, progress)
+            self._retire_pool(pool_state, progress)
             raise CallFailed("no reply in time", progress.sent)
         except (OSError, httpcore.TimeoutException) as error:
             raise CallFailed(_describe(error), progress.sent) from error
         except (httpcore.NetworkError, httpcore.ProtocolError) as error:
             raise CallFailed(_describe(error), progress.sent) from error
         finally:
-            generation.calls -= 1
-            if generation.retired and not generation.calls:
-                await generation.pool.aclose()
+            pool_state.open_calls -= 1
+            if pool_state.retired and not pool_state.open_calls:
+                await pool_state.pool.aclose()
 
     async def _exchange(
         self,
-        generation: _Generation,
+        pool_state: _PoolState,
         request: PlatformRequest,
-        progress: _Progress,
+        progress: _CallProgress,
     ) -> PlatformReply:
         body = bytearray()
-        async with generation.pool.stream(
+        async with pool_state.pool.stream(
             request.method,
             self.origin + request.path,
             headers=dict(request.headers),
@@ -177,22 +177,26 @@
                 body += chunk
                 if len(body) > request.max_reply_bytes:
                     raise CallFailed("the reply is too long", sent=True)
-        headers = _joined(response.headers)
+        headers = _join_repeated(response.headers)
         return PlatformReply(response.status, headers, bytes(body))
 
-    def _suspect(self, generation: _Generation, progress: _Progress) -> None:
+    def _retire_pool(
+        self, pool_state: _PoolState, progress: _CallProgress
+    ) -> None:
         # If a reused connection timed out, the pool's other connections are
         # probably dead for the same reason, so the next calls open new ones.
-        if progress.connected or generation is not self.generation:
+        if progress.connected or pool_state is not self.pool_state:
             return
-        generation.retired = True
-        self.generation = _Generation(_new_pool(self.silent_seconds))
+        pool_state.retired = True
+        self.pool_state = _PoolState(_new_pool(self.silent_seconds))
 
 
 def _new_pool(silent_seconds: int | None) -> "httpcore.AsyncConnectionPool":
     import httpcore
 
-    options = None if silent_seconds is None else _silence(silent_seconds)
+    options = (
+        None if silent_seconds is None else _keepalive_options(silent_seconds)
+    )
     return httpcore.AsyncConnectionPool(
         max_connections=None,
         keepalive_expiry=IDLE_CLOSE_SECONDS,
@@ -201,7 +205,7 @@
     )
 
 
-def _silence(seconds: int) -> list[tuple[int, int, int]]:
+def _keepalive_options(seconds: int) -> list[tuple[int, int, int]]:
     """Return socket options that detect a dead peer after `seconds`.
 
     A long-polling read sends nothing while it waits, so only TCP keepalive
@@ -216,7 +220,7 @@
     ]
 
 
-def _joined(fields: Sequence[tuple[bytes, bytes]]) -> dict[bytes, bytes]:
+def _join_repeated(fields: Sequence[tuple[bytes, bytes]]) -> dict[bytes, bytes]:
     """Return header fields by name, joining the values of repeated ones."""
     joined: dict[bytes, bytes] = {}
     for name, value in fields:
--- a/agatetack/platform/store_client.py
+++ b/agatetack/platform/store_client.py
@@ -9,7 +9,7 @@
 import orjson
 import trio
 
-from agatetack.http_call import CallFailed, PlatformCaller, PlatformRequest
+from agatetack.http_call import CallFailed, PlatformClient, PlatformRequest
 from agatetack.ids import Deadline, LogOffset, StoreGeneration
 from agatetack.keyed.generations import StoreGenerations, read_generation
 from agatetack.keyed.topic import (
@@ -22,13 +22,13 @@
 )
 from agatetack.settings.model import Settings
 
-OK = 200
-GONE = 410
+HTTP_OK = 200
+HTTP_GONE = 410
 
 GENERATION_HEADER = b"store-era"
 
-LENGTH = struct.Struct(">I")
-READ_HEAD = struct.Struct(">QQ")
+RECORD_LENGTH = struct.Struct(">I")
+READ_HEADER = struct.Struct(">QQ")
 """Header of a read's body: the topic's end offset and the first offset that is
 still retained. The records follow."""
 
@@ -40,7 +40,7 @@
 loop if the store always reports that another page follows."""
 
 
-def keyed_name(name: str) -> str:
+def topic_name(name: str) -> str:
     """Return the store's name for one of the load balancer's own topics."""
     return f"keyed.{name}"
 
@@ -71,13 +71,13 @@
         """Create a client; it connects on the first call."""
         store = settings.platform.store
         self.generations = generations
-        self.caller = PlatformCaller(
+        self.http_client = PlatformClient(
             store.endpoint, store.timeout_seconds, store.silent_seconds
         )
 
     async def aclose(self) -> None:
         """Close all connections."""
-        await self.caller.aclose()
+        await self.http_client.aclose()
 
     async def call(
         self,
@@ -96,13 +96,13 @@
         request = PlatformRequest(
             method, f"{path}?{text}", deadline, body, max_reply_bytes=64 << 20
         )
-        asked_in = self.generations.newest
+        generation_before = self.generations.newest
         try:
-            reply = await self.caller.call(request)
+            reply = await self.http_client.call(request)
         except CallFailed as error:
             raise TopicUnavailable(str(error), error.sent) from error
         read = read_generation(reply.headers.get(GENERATION_HEADER))
-        generation = self.generations.note_reply(read, asked_in, path)
+        generation = self.generations.note_reply(read, generation_before, path)
         return StoreReply(reply.status, reply.body, generation)
 
 
@@ -133,7 +133,7 @@
             reply = await self.client.call(
                 "GET", "/agatetack/log-newest", query, deadline
             )
-            if reply.status != OK:
+            if reply.status != HTTP_OK:
                 raise TopicUnavailable(f"status {reply.status}")
             generations.add(reply.generation)
             if len(generations) > 1:
@@ -170,9 +170,9 @@
         reply = await self.client.call(
             "GET", "/agatetack/log-read", query, deadline
         )
-        if reply.status == GONE:
+        if reply.status == HTTP_GONE:
             raise TopicTruncated
-        if reply.status != OK:
+        if reply.status != HTTP_OK:
             raise TopicUnavailable(f"status {reply.status}")
         return _read_records(reply.body, first, reply.generation)
 
@@ -192,7 +192,7 @@
             deadline,
             body,
         )
-        if reply.status != OK:
+        if reply.status != HTTP_OK:
             raise TopicUnavailable(f"status {reply.status}")
         if reply.generation < self.client.generations.newest:
             raise TopicUnavailable("an answer of an earlier generation", True)
@@ -218,7 +218,7 @@
 def _record(key: str, value: bytes) -> bytes:
     name = key.encode()
     record = bytes([len(name)]) + name + value
-    return LENGTH.pack(len(record)) + record
+    return RECORD_LENGTH.pack(len(record)) + record
 
 
 def _key(value: object) -> str:
@@ -249,7 +249,7 @@
     body: bytes, first: LogOffset, generation: StoreGeneration
 ) -> TopicPage:
     try:
-        READ_HEAD.unpack_from(body)
+        READ_HEADER.unpack_from(body)
         records = list(_split_records(body, first))
     except (struct.error, IndexError, UnicodeDecodeError) as error:
         raise TopicUnavailable(f"malformed reply: {error}") from error
@@ -260,10 +260,10 @@
 
 
 def _split_records(body: bytes, first: LogOffset) -> Iterator[KeyedRecord]:
-    position, offset = READ_HEAD.size, first
+    position, offset = READ_HEADER.size, first
     while position < len(body):
-        (length,) = LENGTH.unpack_from(body, position)
-        position += LENGTH.size
+        (length,) = RECORD_LENGTH.unpack_from(body, position)
+        position += RECORD_LENGTH.size
         record = body[position : position + length]
         if len(record) < length:
             raise IndexError("truncated record")
--- a/agatetack/platform/test_store_client.py
+++ b/agatetack/platform/test_store_client.py
@@ -145,14 +145,14 @@
 async def test_an_append_answered_before_a_loss_is_not_taken_for_made():
     async with open_topic() as (store, topic):
         generations = topic.client.generations
-        call = topic.client.caller.call
+        call = topic.client.http_client.call
 
         async def late(request):
             reply = await call(request)
             generations.note(StoreGeneration(9), GenerationSource.PEER, "h1")
             return reply
 
-        topic.client.caller.call = late
+        topic.client.http_client.call = late
         with pytest.raises(TopicUnavailable) as caught:
             await topic.append("a", b"1", soon())
         assert caught.value.may_have_run
--- a/agatetack/record_log/http_log.py
+++ b/agatetack/record_log/http_log.py
@@ -9,7 +9,7 @@
 
 from agatetack.http_call import (
     CallFailed,
-    PlatformCaller,
+    PlatformClient,
     PlatformReply,
     PlatformRequest,
 )
@@ -58,7 +58,7 @@
     def __init__(self, settings: Settings):
         """Make a client; it connects when it is first used."""
         self.settings = settings.platform.log
-        self.caller = PlatformCaller(
+        self.caller = PlatformClient(
             self.settings.endpoint, self.settings.timeout_seconds
         )
 
--- a/agatetack/store_gateway.py
+++ b/agatetack/store_gateway.py
@@ -37,7 +37,7 @@
     REGISTRATIONS_TOPIC,
     ServerDecoder,
 )
-from agatetack.platform.store_client import StoreClient, StoreTopic, keyed_name
+from agatetack.platform.store_client import StoreClient, StoreTopic, topic_name
 from agatetack.quarantine.liveness import LivenessCheck, ReportLivenessCheck
 from agatetack.serving.runners import FastRunner, OnceClassRunner, WholeRunner
 from agatetack.settings.model import Settings
@@ -129,7 +129,7 @@
             CONFIGURATION_KEY, ConfigurationDecoder(), self.routes, metrics
         )
         member_topic = StoreTopic(
-            self.store, keyed_name(settings.platform.store.member_topic)
+            self.store, topic_name(settings.platform.store.member_topic)
         )
         self.members = MemberDirectory(settings, member_topic, metrics)
         load_reader = None
--- a/agatetack/test_http_call.py
+++ b/agatetack/test_http_call.py
@@ -5,7 +5,7 @@
 
 from agatetack.http_call import (
     CallFailed,
-    PlatformCaller,
+    PlatformClient,
     PlatformRequest,
 )
 from agatetack.settings.defaults import default_settings
@@ -25,19 +25,19 @@
     return fake
 
 
-def make_caller(server: FakeTarget) -> PlatformCaller:
+def make_client(server: FakeTarget) -> PlatformClient:
     endpoint = Endpoint(ip="127.0.0.1", port=server.port)
-    return PlatformCaller(endpoint, PATIENCE_SECONDS)
+    return PlatformClient(endpoint, PATIENCE_SECONDS)
 
 
 async def call(
-    caller: PlatformCaller,
+    client: PlatformClient,
     path: str = "/a",
     seconds: float = PATIENCE_SECONDS,
     body: bytes = b"",
 ) -> bytes:
     deadline = trio.current_time() + seconds
-    reply = await caller.call(PlatformRequest("POST", path, deadline, body))
+    reply = await client.call(PlatformRequest("POST", path, deadline, body))
     return reply.body
 
 
@@ -60,7 +60,7 @@
 async def test_failure_tells_whether_sent(
     server, name, faults, path, body, sent
 ):
-    caller = make_caller(server)
+    client = make_client(server)
     for fault, value in faults.items():
         setattr(server.faults, fault, value)
     if name == "refused":
@@ -68,37 +68,37 @@
         await trio.testing.wait_all_tasks_blocked()
     seconds = TRY_SECONDS if server.faults.frozen else PATIENCE_SECONDS
     with pytest.raises(CallFailed) as caught:
-        await call(caller, path, seconds, body)
+        await call(client, path, seconds, body)
     assert caught.value.sent is sent
     # Requests are never retried.
     assert len(server.executed) <= 1
 
 
 async def test_one_silent_connection_makes_its_siblings_suspect(server):
-    caller = make_caller(server)
+    client = make_client(server)
     async with trio.open_nursery() as nursery:
         for _ in range(3):
-            nursery.start_soon(call, caller, "/a?service_ms=20")
+            nursery.start_soon(call, client, "/a?service_ms=20")
     assert server.accepted == 3
-    await call(caller)
+    await call(client)
     assert server.accepted == 3
     server.silence()
     with pytest.raises(CallFailed):
-        await call(caller, seconds=TRY_SECONDS)
-    await call(caller)
+        await call(client, seconds=TRY_SECONDS)
+    await call(client)
     assert server.accepted == 4
 
 
 async def test_a_suspect_pool_lets_open_calls_end(server):
-    caller = make_caller(server)
+    client = make_client(server)
     async with trio.open_nursery() as nursery:
-        nursery.start_soon(call, caller, "/a?service_ms=300")
-        await call(caller)
+        nursery.start_soon(call, client, "/a?service_ms=300")
+        await call(client)
         server.faults.slow_factor = 1000
         with pytest.raises(CallFailed):
-            await call(caller, "/b?service_ms=1", seconds=TRY_SECONDS)
+            await call(client, "/b?service_ms=1", seconds=TRY_SECONDS)
         server.faults.slow_factor = 1
-        await call(caller)
+        await call(client)
         assert len(server.connections) >= 2
     await trio.testing.wait_all_tasks_blocked()
     assert len(server.connections) == 1
