--- a/agatetack/decisions.py
+++ b/agatetack/decisions.py
@@ -18,13 +18,13 @@
 from agatetack.log_writer import LineDrop
 from agatetack.logs import limiter
 
-MOST_HELD = 64
+MAX_BUFFERED_DECISIONS = 64
 """Decisions buffered for one request; further ones are only counted."""
 
-FIRST_SAMPLES = 5
+MAX_SAMPLES_PER_SECOND = 5
 """Successful requests per second whose decisions are written."""
 
-MOST_FAILED_LINES = 400
+MAX_FAILED_LINES_PER_SECOND = 400
 """Lines about failed requests written per second; the requests whose lines
 don't fit are only counted."""
 
@@ -88,8 +88,8 @@
         if now >= self.window_ends:
             self.window_ends = now + WINDOW_SECONDS
             self.left = {
-                Importance.FAILED: MOST_FAILED_LINES,
-                Importance.USUAL: FIRST_SAMPLES,
+                Importance.FAILED: MAX_FAILED_LINES_PER_SECOND,
+                Importance.USUAL: MAX_SAMPLES_PER_SECOND,
             }
         cost = lines if importance is Importance.FAILED else 1
         if self.left[importance] < cost:
@@ -137,7 +137,7 @@
         """Buffer a decision about a request until the request ends."""
         if not switch.enabled:
             return
-        if len(decision_trace.decisions) >= MOST_HELD:
+        if len(decision_trace.decisions) >= MAX_BUFFERED_DECISIONS:
             decision_trace.left_out += 1
             return
         decision_trace.decisions.append(
