--- a/agatetack/callers/problem.py
+++ b/agatetack/callers/problem.py
@@ -7,7 +7,7 @@
 
 from agatetack.ids import RequestId
 from agatetack.messages import Answer, BytesBody, Header
-from agatetack.outcomes import Refusal, promised_status
+from agatetack.outcomes import Refusal, status_for_outcome
 from agatetack.settings.model import CallersSettings
 
 PROBLEM_TYPE = b"application/problem+json"
@@ -18,7 +18,7 @@
     override = settings.refusal_statuses.get(refusal.reason.value)
     status = refusal.status if override is None else override
     if settings.statuses_promise:
-        return promised_status(status, refusal.outcome)
+        return status_for_outcome(status, refusal.outcome)
     return status
 
 
--- a/agatetack/outcomes.py
+++ b/agatetack/outcomes.py
@@ -157,17 +157,17 @@
     ticket: TicketId = TicketId("")
 
 
-PROMISING_STATUSES = frozenset({408, 421, 429, 503})
+NOT_RUN_STATUSES = frozenset({408, 421, 429, 503})
 """Statuses from which callers conclude that the request did not run."""
 
-UNPROMISING_STATUS = 502
+UNKNOWN_OUTCOME_STATUS = 502
 
 
-def promised_status(status: int, outcome: Outcome) -> int:
+def status_for_outcome(status: int, outcome: Outcome) -> int:
     """Return `status`, or 502 if it would wrongly say that nothing ran."""
-    if outcome is Outcome.NOT_RUN or status not in PROMISING_STATUSES:
+    if outcome is Outcome.NOT_RUN or status not in NOT_RUN_STATUSES:
         return status
-    return UNPROMISING_STATUS
+    return UNKNOWN_OUTCOME_STATUS
 
 
 def refuse(
