--- a/agatetack/gateway_core.py
+++ b/agatetack/gateway_core.py
@@ -43,7 +43,7 @@
 from agatetack.targets.registry import TargetRegistry
 from agatetack.tls import ServerTls
 
-MAX_STOPS = 2
+MAX_STOP_REQUESTS = 2
 """Stop requests that are buffered: the first starts the drain, the second
 aborts it."""
 
@@ -109,7 +109,9 @@
         self.clock = clock or SystemClock()
         self.metrics = Metrics()
         self.routes = RouteSource()
-        self.stops, self.stops_out = trio.open_memory_channel[int](MAX_STOPS)
+        self.stops, self.stops_out = trio.open_memory_channel[int](
+            MAX_STOP_REQUESTS
+        )
         self.lifecycle = Lifecycle(settings, self.metrics, self.clock)
 
     def build_target_side(
@@ -185,12 +187,18 @@
             settings, self.client, self.crashes, metrics
         )
         self.fleet_budget = FleetBudget(settings, self.fleet_size, metrics)
-        self.looking = self._looking(load_reader, load_paths)
+        self.request_admission = self._build_request_admission(
+            load_reader, load_paths
+        )
         self.attempts = AttemptRunner(
-            settings, self.looking, self.single, metrics, self.fleet_budget
+            settings,
+            self.request_admission,
+            self.single,
+            metrics,
+            self.fleet_budget,
         )
 
-    def _looking(
+    def _build_request_admission(
         self,
         load_reader: LoadReader | None,
         load_paths: Mapping[ServiceId, str] | None,
@@ -198,7 +206,7 @@
         """Return the admission for requests, with pre-send probes if set."""
         if not self.settings.measure.target_looks_per_second:
             return self.admission
-        look = PreSendProber(
+        presend_prober = PreSendProber(
             self.settings,
             self.registry,
             self.client.pools,
@@ -207,7 +215,7 @@
             self.metrics,
             load_paths,
         )
-        return ProbingAdmission(self.admission, look, self.metrics)
+        return ProbingAdmission(self.admission, presend_prober, self.metrics)
 
     def liveness_check(self) -> LivenessCheck:
         """Return the check that tells a crash from one lost connection."""
--- a/agatetack/hosts/test_evacuations.py
+++ b/agatetack/hosts/test_evacuations.py
@@ -5,7 +5,7 @@
 from agatetack.hosts.evacuations import Evacuations
 from agatetack.keyed.topic import KeyedRecord
 from agatetack.metrics import Metrics
-from agatetack.platform.configuration import EvacuationNames
+from agatetack.platform.configuration import EvacuationKeyParser
 
 
 def begun(domain, offset=1):
@@ -47,7 +47,7 @@
 )
 def test_what_is_evacuated_after_records(steps, evacuated):
     calls = []
-    evacuations = Evacuations(EvacuationNames(), calls.append, Metrics())
+    evacuations = Evacuations(EvacuationKeyParser(), calls.append, Metrics())
     for kind, records in steps:
         take = evacuations.apply_all if kind == "all" else evacuations.apply_new
         take(records)
--- a/agatetack/hosts/test_lost_records.py
+++ b/agatetack/hosts/test_lost_records.py
@@ -19,7 +19,7 @@
 from agatetack.metrics import Metrics
 from agatetack.platform.configuration import (
     ConfigurationDecoder,
-    EvacuationNames,
+    EvacuationKeyParser,
 )
 from agatetack.platform.registrations import ServerDecoder
 from agatetack.settings.defaults import default_settings
@@ -115,7 +115,7 @@
 
 
 def make_evacuations(topic):
-    return Evacuations(EvacuationNames(), lambda domains: None, Metrics())
+    return Evacuations(EvacuationKeyParser(), lambda domains: None, Metrics())
 
 
 def states(harness):
--- a/agatetack/platform/bounds.py
+++ b/agatetack/platform/bounds.py
@@ -11,11 +11,11 @@
 """Reserve between the end of the drain and the time at which the platform
 kills the process, for closing connections and writing the last log lines."""
 
-NOTICE_SHARE = 0.6
+MAX_NOTICE_RATIO = 0.6
 """Largest part of the drain time in which new connections are still accepted;
 the rest is for closing connections and finishing requests in flight."""
 
-PROBE_SHARE = 0.25
+MAX_PROBE_RATIO = 0.25
 """Share of the allowed probe rate that is used at most, because each probe
 costs the target work."""
 
@@ -49,7 +49,7 @@
     cold_rate_slack: float | None = None
 
 
-READERS = {
+BOUND_PARSERS = {
     "grace": ("stop_seconds", read_seconds),
     "budget_ratio": ("repeat_ratio", float),
     "budget_slack": ("repeat_slack", float),
@@ -74,9 +74,9 @@
         if not equals:
             message = f"platform.store.bounds: {text}: must be NAME=VALUE"
             raise BoundsError(message)
-        if name not in READERS:
+        if name not in BOUND_PARSERS:
             continue
-        field, read = READERS[name]
+        field, read = BOUND_PARSERS[name]
         try:
             found[field] = read(value)
         except ValueError as error:
@@ -85,7 +85,7 @@
     return Bounds(**found)
 
 
-def bounded(settings: Settings) -> Settings:
+def apply_bounds(settings: Settings) -> Settings:
     """Return a copy of `settings` with the platform's bounds applied."""
     bounds = read_bounds(settings.platform.store.bounds)
     lifecycle, attempts = settings.lifecycle, settings.attempts
@@ -96,25 +96,25 @@
             {
                 "drain_seconds": drain,
                 "notice_seconds": min(
-                    lifecycle.notice_seconds, NOTICE_SHARE * drain
+                    lifecycle.notice_seconds, MAX_NOTICE_RATIO * drain
                 ),
             }
         )
     attempts = attempts.copy_with(
-        _given(
+        _drop_none(
             fleet_ratio=bounds.repeat_ratio,
             fleet_slack=bounds.repeat_slack,
             fleet_window_seconds=bounds.repeat_window_seconds,
         )
     )
     if bounds.probes_per_second is not None:
-        most = bounds.probes_per_second * PROBE_SHARE
-        wanted = measure.target_probes_per_second
+        max_rate = bounds.probes_per_second * MAX_PROBE_RATIO
+        configured_rate = measure.target_probes_per_second
         measure = measure.copy_with(
-            {"target_probes_per_second": min(wanted, most)}
+            {"target_probes_per_second": min(configured_rate, max_rate)}
         )
     balance = settings.balance.copy_with(
-        _given(
+        _drop_none(
             cold_rate_ratio=bounds.cold_rate_ratio,
             cold_rate_slack=bounds.cold_rate_slack,
         )
@@ -129,5 +129,5 @@
     )
 
 
-def _given(**values: float | None) -> dict[str, float]:
+def _drop_none(**values: float | None) -> dict[str, float]:
     return {name: v for name, v in values.items() if v is not None}
--- a/agatetack/platform/configuration.py
+++ b/agatetack/platform/configuration.py
@@ -64,7 +64,7 @@
             raise BadDocument(f"{type(error).__name__}: {error}") from error
 
 
-class EvacuationNames(EvacuationKeys):
+class EvacuationKeyParser(EvacuationKeys):
     """Parses the keys of the platform's records that evacuate a zone."""
 
     def domain(self, key: str) -> FailureDomain | None:
--- a/agatetack/platform/figures.py
+++ b/agatetack/platform/figures.py
@@ -1,6 +1,6 @@
 """Parse durations in the platform's notation."""
 
-UNITS = {"ms": 0.001, "s": 1.0}
+SECONDS_PER_UNIT = {"ms": 0.001, "s": 1.0}
 """Seconds in each unit. `ms` has to come first, as it also ends in `s`."""
 
 
@@ -12,7 +12,7 @@
     """
     if not isinstance(text, str):
         raise ValueError(f"{text!r} is not a duration")
-    for unit, seconds in UNITS.items():
+    for unit, seconds in SECONDS_PER_UNIT.items():
         if text.endswith(unit):
             return float(text.removesuffix(unit)) * seconds
     raise ValueError(f"{text!r} has no unit")
--- a/agatetack/platform/load_header.py
+++ b/agatetack/platform/load_header.py
@@ -10,16 +10,16 @@
     ReportedState,
 )
 
-USUAL_PERCENT = 100.0
+NORMAL_SLOWNESS_PERCENT = 100.0
 
-LEAVING = b"1"
+LEAVING_VALUE = b"1"
 """Value of the header that a leaving target adds to its answers."""
 
-LONGEST_WARM_UP_MS = 3_600_000.0
+MAX_WARM_UP_MS = 3_600_000.0
 """Longest warm-up time that is accepted; a longer one counts as unreadable."""
 
 
-class ListLoadReader(LoadReader):
+class CommaSeparatedLoadReader(LoadReader):
     """Parses `running,waiting,slots` and an optional slowness in percent."""
 
     def __init__(self, settings: Settings):
@@ -44,7 +44,7 @@
         running, waiting, slots = (int(figure) for figure in figures[:3])
         slowness = USUAL_SLOWNESS
         if len(figures) > 3:
-            slowness = max(figures[3], 1.0) / USUAL_PERCENT
+            slowness = max(figures[3], 1.0) / NORMAL_SLOWNESS_PERCENT
         return ParsedLoad(
             running + waiting,
             max(1, slots),
@@ -54,7 +54,7 @@
         )
 
     def _state(self, headers: Mapping[bytes, bytes]) -> ReportedState | None:
-        leaving = headers.get(self.leaving_name, b"").strip() == LEAVING
+        leaving = headers.get(self.leaving_name, b"").strip() == LEAVING_VALUE
         return ReportedState.DRAINING if leaving else None
 
     def _warm_up_seconds(self, headers: Mapping[bytes, bytes]) -> float | None:
@@ -66,4 +66,4 @@
             left = float(headers.get(self.warm_up_name, b"0"))
         except ValueError:
             return None
-        return left / 1000 if 0 <= left <= LONGEST_WARM_UP_MS else None
+        return left / 1000 if 0 <= left <= MAX_WARM_UP_MS else None
--- a/agatetack/platform/registrations.py
+++ b/agatetack/platform/registrations.py
@@ -31,7 +31,7 @@
 MAX_WARM_UP_SECONDS = 3600.0
 """Longest warm-up time that a server may state."""
 
-KEY = re.compile(r"[!-~]{1,200}")
+KEY_PATTERN = re.compile(r"[!-~]{1,200}")
 """Valid keys: those that can be sent in a header, because each request names
 its server in one."""
 
@@ -72,7 +72,7 @@
     status: ServerStatus
 
 
-ENTRIES = msgspec.json.Decoder(ServerEntry)
+ENTRY_DECODER = msgspec.json.Decoder(ServerEntry)
 
 
 class ServerDecoder(RegistrationDecoder):
@@ -94,11 +94,11 @@
 
 def _read_target(key: str, content: bytes) -> ListedTarget:
     """Return the target; raises ValueError if the entry is not valid."""
-    if not KEY.fullmatch(key):
+    if not KEY_PATTERN.fullmatch(key):
         raise ValueError("the key is not valid as a server name")
     if len(content) > MAX_ENTRY_BYTES:
         raise ValueError(f"the entry is too long: {len(content)} bytes")
-    entry = ENTRIES.decode(content)
+    entry = ENTRY_DECODER.decode(content)
     ip, _, port = entry.address.rpartition(":")
     left = read_seconds(entry.status.warmup_left)
     if left > MAX_WARM_UP_SECONDS:
--- a/agatetack/platform/test_bounds.py
+++ b/agatetack/platform/test_bounds.py
@@ -4,9 +4,9 @@
 
 from agatetack.platform.bounds import (
     KILL_MARGIN_SECONDS,
-    PROBE_SHARE,
+    MAX_PROBE_RATIO,
     BoundsError,
-    bounded,
+    apply_bounds,
     read_bounds,
 )
 from agatetack.settings.defaults import default_settings
@@ -15,7 +15,7 @@
 
 def with_bounds(*bounds):
     store = {"endpoint": "127.0.0.1:1", "bounds": list(bounds)}
-    return bounded(
+    return apply_bounds(
         default_settings(
             platform={"store": store},
             measure={"target_probes_per_second": 20.0},
@@ -35,7 +35,7 @@
             "probes_per_s=40",
             "measure",
             "target_probes_per_second",
-            40 * PROBE_SHARE,
+            40 * MAX_PROBE_RATIO,
         ),
         ("probes_per_s=400", "measure", "target_probes_per_second", 20.0),
     ],
--- a/agatetack/platform/test_records.py
+++ b/agatetack/platform/test_records.py
@@ -15,7 +15,7 @@
 from agatetack.hosts.listed_target import BadRegistration
 from agatetack.platform.configuration import ConfigurationDecoder
 from agatetack.platform.figures import read_seconds
-from agatetack.platform.load_header import ListLoadReader
+from agatetack.platform.load_header import CommaSeparatedLoadReader
 from agatetack.platform.registrations import MAX_SLOTS, ServerDecoder
 from agatetack.targets.load import ReportedState
 from agatetack.testing.store_fleet import (
@@ -244,7 +244,7 @@
     ],
 )
 def test_a_load_header_is_read(value, in_flight, slots, slowness):
-    reader = ListLoadReader(template_settings(1))
+    reader = CommaSeparatedLoadReader(template_settings(1))
     load = reader.read({b"server-load": value})
     assert (load.in_flight, load.slots) == (in_flight, slots)
     assert load.slowness == slowness
@@ -265,7 +265,7 @@
 )
 @pytest.mark.parametrize("load", [b"1,0,6,100", b"unreadable"])
 def test_a_target_says_in_a_header_that_it_leaves(value, leaves, load):
-    reader = ListLoadReader(template_settings(1))
+    reader = CommaSeparatedLoadReader(template_settings(1))
     headers = {b"server-load": load}
     if value is not None:
         headers[b"server-leaving"] = value
@@ -289,7 +289,7 @@
     ],
 )
 def test_the_time_to_warm_up_is_read(value, seconds):
-    reader = ListLoadReader(template_settings(1))
+    reader = CommaSeparatedLoadReader(template_settings(1))
     headers = {b"server-load": b"1,0,6,100"}
     if value is not None:
         headers[b"warmup-remaining-ms"] = value
--- a/agatetack/store_daemon.py
+++ b/agatetack/store_daemon.py
@@ -7,7 +7,7 @@
 from agatetack.collector import tune_collector
 from agatetack.daemon_parts import count_dropped_lines, forward_signals
 from agatetack.decisions import DecisionLog
-from agatetack.platform.bounds import bounded
+from agatetack.platform.bounds import apply_bounds
 from agatetack.settings.model import Settings
 from agatetack.settings.reload import SettingsWatch
 from agatetack.store_gateway import StoreGateway
@@ -33,13 +33,13 @@
     Returns:
         The exit status of the process: 0, or 1 if requests were cut.
     """
-    gateway = StoreGateway(bounded(settings))
+    gateway = StoreGateway(apply_bounds(settings))
     count_dropped_lines(gateway.metrics)
     tune_collector()
     watch = SettingsWatch(
         path,
         settings,
-        lambda changed: gateway.reconfigure(bounded(changed)),
+        lambda changed: gateway.reconfigure(apply_bounds(changed)),
         LIVE_SECTIONS,
     )
     try:
--- a/agatetack/store_gateway.py
+++ b/agatetack/store_gateway.py
@@ -30,9 +30,9 @@
     CONFIGURATION_KEY,
     CONFIGURATION_TOPIC,
     ConfigurationDecoder,
-    EvacuationNames,
+    EvacuationKeyParser,
 )
-from agatetack.platform.load_header import ListLoadReader
+from agatetack.platform.load_header import CommaSeparatedLoadReader
 from agatetack.platform.registrations import (
     REGISTRATIONS_TOPIC,
     ServerDecoder,
@@ -44,12 +44,12 @@
 from agatetack.targets.pool import ConnectionLimit, SettingsConnectionLimit
 from agatetack.targets.state import TargetState
 
-FIRST_READ_SECONDS = 0.25
+FIRST_READ_TIMEOUT_SECONDS = 0.25
 """Longest time that callers wait, while a host starts, for its first read of
 the store, which usually takes 20 ms. After that the host refuses requests, so
 that callers can try another host."""
 
-FIRST_READ_POLL_SECONDS = 0.005
+FIRST_READ_POLL_INTERVAL_SECONDS = 0.005
 """Interval at which a starting host checks whether that read is complete."""
 
 
@@ -68,7 +68,7 @@
 for requests."""
 
 
-class DocumentConnections(ConnectionLimit):
+class DocumentConnectionLimit(ConnectionLimit):
     """Divides a target's connection limit in the document among all hosts."""
 
     def __init__(self, gateway: "StoreGateway"):
@@ -134,7 +134,7 @@
         self.members = MemberDirectory(settings, member_topic, metrics)
         load_reader = None
         if settings.targets.headers.load is not None:
-            load_reader = ListLoadReader(settings)
+            load_reader = CommaSeparatedLoadReader(settings)
         self.build_target_side(
             self.members, load_reader, self.documents.load_paths
         )
@@ -142,7 +142,7 @@
             settings, ServerDecoder(), self.registry.update, metrics
         )
         self.evacuations = Evacuations(
-            EvacuationNames(), self.registry.set_evacuated, metrics
+            EvacuationKeyParser(), self.registry.set_evacuated, metrics
         )
         self.read_counters = ReadCounters(metrics)
         self.seed_port = 0
@@ -168,10 +168,10 @@
             metrics,
             self.generations,
         )
-        self.client.pools.connection_limit = DocumentConnections(self)
+        self.client.pools.connection_limit = DocumentConnectionLimit(self)
         self._build_classes()
-        self.documents.watchers.append(self._limit_callers)
-        self.documents.watchers.append(self._bound_cold_targets)
+        self.documents.watchers.append(self._apply_caller_limits)
+        self.documents.watchers.append(self._apply_warm_up_rates)
 
     def _follower(
         self, name: str, topic: str | KeyedTopic, reader: TopicReader
@@ -192,7 +192,7 @@
         once = OnceRunner(
             self.settings,
             HostClaims(),
-            self.looking,
+            self.request_admission,
             self.single,
             self.metrics,
             self.fleet_budget,
@@ -214,9 +214,9 @@
         self.settings = settings
         self.lifecycle.settings = settings.lifecycle
         self.fleet_budget.set_limits(settings)
-        self._limit_callers()
+        self._apply_caller_limits()
 
-    def _limit_callers(self) -> None:
+    def _apply_caller_limits(self) -> None:
         """Apply the callers' limits of the document, or of the settings."""
         callers = self.settings.callers
         limits = self.documents.limits
@@ -231,7 +231,7 @@
             )
         self.callers.limit(callers)
 
-    def _bound_cold_targets(self) -> None:
+    def _apply_warm_up_rates(self) -> None:
         """Apply the warm-up rates in the document to the targets."""
         self.registry.set_warm_up_rates(
             {
@@ -275,36 +275,38 @@
             port: This host's port for peers.
         """
         own = self.settings.host.id
-        told = await self.seed_client.start(own, self.members.own_record(port))
+        registered_by_seed = await self.seed_client.start(
+            own, self.members.own_record(port)
+        )
         for follower in self.followers:
             nursery.start_soon(follower.run)
-        nursery.start_soon(self.members.register, port, told)
-        await self._until_configured()
+        nursery.start_soon(self.members.register, port, registered_by_seed)
+        await self._wait_until_configured()
 
-    async def _until_configured(self) -> None:
+    async def _wait_until_configured(self) -> None:
         """Wait briefly for routes and targets before serving callers.
 
         Otherwise, callers that connected while this host was starting would
         be refused about 20 ms before it can serve them.
         """
         readiness = self.readiness()
-        with trio.move_on_after(FIRST_READ_SECONDS):
+        with trio.move_on_after(FIRST_READ_TIMEOUT_SECONDS):
             while not readiness.configured():
-                await trio.sleep(FIRST_READ_POLL_SECONDS)
+                await trio.sleep(FIRST_READ_POLL_INTERVAL_SECONDS)
 
     async def _start_status(self, nursery: trio.Nursery) -> tuple[int, int]:
         """Serve readiness and metrics; return their ports, or 0 if off."""
         status = self.settings.status
-        shows = [follower.show for follower in self.followers]
-        wanted = (
+        updaters = [follower.show for follower in self.followers]
+        servers = (
             (status.ready_listen, ReadyHandler(self.settings, self.lifecycle)),
             (
                 status.metrics_listen,
-                MetricsHandler(self.settings, self.metrics, shows),
+                MetricsHandler(self.settings, self.metrics, updaters),
             ),
         )
         ports = []
-        for listen, handler in wanted:
+        for listen, handler in servers:
             port = 0
             if listen is not None:
                 server = status_server(
--- a/agatetack/targets/test_presend_probe.py
+++ b/agatetack/targets/test_presend_probe.py
@@ -6,7 +6,7 @@
 from agatetack.ids import Deadline
 from agatetack.metrics import Metrics
 from agatetack.peers.exchange import NoExchange
-from agatetack.platform.load_header import ListLoadReader
+from agatetack.platform.load_header import CommaSeparatedLoadReader
 from agatetack.targets.load import LoadReader
 from agatetack.targets.pool import TargetPools
 from agatetack.targets.presend_probe import PRE_SEND_PROBE_BURST, PreSendProber
@@ -29,7 +29,7 @@
         settings,
         registry,
         TargetPools(settings),
-        reader or ListLoadReader(settings),
+        reader or CommaSeparatedLoadReader(settings),
         exchange,
         Metrics(),
         paths,
--- a/agatetack/testing/limited_fleet.py
+++ b/agatetack/testing/limited_fleet.py
@@ -21,7 +21,7 @@
 from agatetack.ids import Deadline, FailureDomain, HostId
 from agatetack.messages import Header, read_whole
 from agatetack.peers.mesh import PeerExchange
-from agatetack.platform.load_header import ListLoadReader
+from agatetack.platform.load_header import CommaSeparatedLoadReader
 from agatetack.streams import PlainStream, open_plain_stream
 from agatetack.testing.fake_target import Arrival, FakeTarget, FakeTargetOptions
 from agatetack.testing.peer_fleet import StaticDirectory, listed
@@ -242,7 +242,9 @@
             settings = template_settings(NO_STORE_PORT, f"h{number:03}")
             host = GatewayCore(settings, seed=number)
             host.build_target_side(
-                fleet.directory, ListLoadReader(settings), {SERVICE: "/load"}
+                fleet.directory,
+                CommaSeparatedLoadReader(settings),
+                {SERVICE: "/load"},
             )
             fleet.hosts.append(host)
         options = FakeTargetOptions(SLOTS, SERVICE_SECONDS, spread=0.3)
--- a/agatetack/testing/store_fleet.py
+++ b/agatetack/testing/store_fleet.py
@@ -11,7 +11,7 @@
 import trio
 import trio.testing
 
-from agatetack.platform.bounds import bounded
+from agatetack.platform.bounds import apply_bounds
 from agatetack.settings.loader import check_settings_text
 from agatetack.settings.model import Settings
 from agatetack.store_gateway import StoreGateway, StorePorts
@@ -87,7 +87,7 @@
     text = template_text(store_port, name)
     checked = check_settings_text(text, "deploy/settings.yaml")
     assert checked.settings is not None, checked.findings
-    return bounded(checked.settings)
+    return apply_bounds(checked.settings)
 
 
 def route_fields(**fields: object) -> dict[str, object]:
