--- a/agatetack/lifecycle/status.py
+++ b/agatetack/lifecycle/status.py
@@ -76,7 +76,7 @@
 
 async def render_metrics(metrics: Metrics) -> bytes:
     """Return all metrics as text; other tasks may run between two."""
-    metrics.hand_over()
+    metrics.flush_buffered()
     formatter = TextFormatter()
     blocks = []
     for collector in metrics.registry.get_all():
--- a/agatetack/metrics.py
+++ b/agatetack/metrics.py
@@ -22,7 +22,7 @@
 """The route label of requests that match no route."""
 
 
-MAX_SHOWN_TARGETS = 200
+MAX_TARGET_SERIES = 200
 """Most targets that have a latency series of their own."""
 
 OTHER_TARGETS_LABEL = "others"
@@ -37,7 +37,7 @@
     PEER = "peer"
 
 
-class HotCounter:
+class BufferedCounter:
     """A counter with one label that is incremented for each request.
 
     Increments are collected in a plain map, at a tenth of the cost of an
@@ -49,17 +49,17 @@
         """Create a buffer of `counter`, whose only label is `label`."""
         self.counter = counter
         self.label = label
-        self.steps: collections.Counter[str] = collections.Counter()
+        self.increments: collections.Counter[str] = collections.Counter()
 
     def inc(self, labels: Mapping[str, str]) -> None:
         """Add one to the series with `labels`."""
-        self.steps[labels[self.label]] += 1
+        self.increments[labels[self.label]] += 1
 
-    def hand_over(self) -> None:
+    def flush_buffered(self) -> None:
         """Move the collected increments to the library's counter."""
-        for value, count in self.steps.items():
+        for value, count in self.increments.items():
             self.counter.add({self.label: value}, count)
-        self.steps.clear()
+        self.increments.clear()
 
 
 class Metrics:
@@ -72,9 +72,9 @@
     def __init__(self) -> None:
         """Create the metrics, and one series for each reason."""
         self.registry = Registry()
-        self.hot: list[HotCounter] = []
-        self.shown_targets: set[TargetId] = set()
-        self.requests = self.hot_counter(
+        self.buffered_counters: list[BufferedCounter] = []
+        self.targets_with_series: set[TargetId] = set()
+        self.requests = self.buffered_counter(
             "agatetack_requests_total", "Requests by route.", "route"
         )
         self.refusals = self.counter(
@@ -85,7 +85,7 @@
             "agatetack_retries_total",
             "Attempts after a request's first, by route and reason.",
         )
-        self.attempts = self.hot_counter(
+        self.attempts = self.buffered_counter(
             "agatetack_attempts_total",
             "Attempts sent to targets, by route.",
             "route",
@@ -98,7 +98,7 @@
             "agatetack_measure_refused_total",
             "Probes not sent because the budget was spent.",
         )
-        self.measured = self.hot_counter(
+        self.measured = self.buffered_counter(
             "agatetack_load_reports_total",
             "Load reports taken, by source.",
             "source",
@@ -151,10 +151,12 @@
         """Register a counter; components use this to add their own."""
         return Counter(name, doc, registry=self.registry)
 
-    def hot_counter(self, name: str, doc: str, label: str) -> HotCounter:
+    def buffered_counter(
+        self, name: str, doc: str, label: str
+    ) -> BufferedCounter:
         """Register a counter with one label that each request increments."""
-        counter = HotCounter(self.counter(name, doc), label)
-        self.hot.append(counter)
+        counter = BufferedCounter(self.counter(name, doc), label)
+        self.buffered_counters.append(counter)
         return counter
 
     def gauge(self, name: str, doc: str) -> Gauge:
@@ -181,17 +183,17 @@
         targets `/metrics` would have 10 MB and take most of a second.
         """
         label = target
-        if target not in self.shown_targets:
-            if len(self.shown_targets) < MAX_SHOWN_TARGETS:
-                self.shown_targets.add(target)
+        if target not in self.targets_with_series:
+            if len(self.targets_with_series) < MAX_TARGET_SERIES:
+                self.targets_with_series.add(target)
             else:
                 label = OTHER_TARGETS_LABEL
         self.target_latency.observe({"target": label}, seconds)
 
-    def hand_over(self) -> None:
-        """Move the increments of hot counters to the library's counters."""
-        for counter in self.hot:
-            counter.hand_over()
+    def flush_buffered(self) -> None:
+        """Move the increments of all buffered counters to the library's."""
+        for counter in self.buffered_counters:
+            counter.flush_buffered()
 
     def render(self, accept: str = "") -> tuple[bytes, dict[str, str]]:
         """Return the body and headers of `/metrics`.
@@ -199,5 +201,5 @@
         Args:
             accept: The request's Accept header; if empty, text is rendered.
         """
-        self.hand_over()
+        self.flush_buffered()
         return render(self.registry, [accept] if accept else [])
--- a/agatetack/operators/host_view.py
+++ b/agatetack/operators/host_view.py
@@ -105,7 +105,7 @@
     budget = gateway.settings.measure
     size = gateway.peers.fleet_size()
     metrics = gateway.metrics
-    metrics.hand_over()
+    metrics.flush_buffered()
     spent = metrics.budget_spent
     return views.MeasureBudget(
         fleet_probes_per_second=budget.probes_per_second,
--- a/bench/attempts.py
+++ b/bench/attempts.py
@@ -123,7 +123,7 @@
 
 
 def _attempts(metrics) -> int:
-    metrics.hand_over()
+    metrics.flush_buffered()
     return metrics.attempts.counter.values.get({"route": "route"}, 0)
 
 
