--- a/agatetack/__main__.py
+++ b/agatetack/__main__.py
@@ -14,10 +14,10 @@
     """Run the daemon directly, or else parse the command line."""
     if sys.argv[1:] == DAEMON:
         # These come first, as loading the rest takes most of a second.
-        from agatetack.collector import hold_collector
+        from agatetack.collector import disable_collector
         from agatetack.early_listener import listen_early
 
-        hold_collector()
+        disable_collector()
         problem = listen_early()
         if problem is not None:
             print(f"agatetack: not listening yet: {problem}", file=sys.stderr)
--- a/agatetack/collector.py
+++ b/agatetack/collector.py
@@ -17,7 +17,7 @@
 """Collections of the middle generation before a full one."""
 
 
-def hold_collector() -> None:
+def disable_collector() -> None:
     """Turn the collector off while the program loads.
 
     Loaded modules stay in memory, so a collection would free almost nothing.
--- a/agatetack/early_listener.py
+++ b/agatetack/early_listener.py
@@ -67,7 +67,7 @@
     return early.pop((ip, port), None) or listening_socket(ip, port)
 
 
-def keep_only(ip: str, port: int) -> list[str]:
+def close_others(ip: str, port: int) -> list[str]:
     """Close the early sockets of other addresses; return those addresses."""
     others = [address for address in early if address != (ip, port)]
     for address in others:
--- a/agatetack/log_writer.py
+++ b/agatetack/log_writer.py
@@ -28,7 +28,7 @@
 """Called with the reason why a line was not written; must not block."""
 
 
-def count_nothing(reason: LineDrop) -> None:
+def ignore_drop(reason: LineDrop) -> None:
     """Ignore the drop; used until the host's metrics exist."""
 
 
@@ -58,7 +58,7 @@
         self.waiting: queue.SimpleQueue[std_logging.LogRecord | None]
         self.waiting = queue.SimpleQueue()
         self.dropped = 0
-        self.count_drop: CountDrop = count_nothing
+        self.count_drop: CountDrop = ignore_drop
         self.thread = threading.Thread(
             target=self._run, name="log-writer", daemon=True
         )
--- a/agatetack/logs.py
+++ b/agatetack/logs.py
@@ -15,7 +15,7 @@
     CountDrop,
     LineDrop,
     LogWriter,
-    count_nothing,
+    ignore_drop,
 )
 from agatetack.settings.findings import one_line
 from agatetack.settings.model import LogOutput, LogsSettings
@@ -50,7 +50,7 @@
         """Allow `max_lines` of a kind in `WINDOW_SECONDS` of `clock`."""
         self.max_lines = max_lines
         self.clock = clock
-        self.count_drop: CountDrop = count_nothing
+        self.count_drop: CountDrop = ignore_drop
         self.window_ends = 0.0
         self.seen: dict[str, int] = {}
 
--- a/agatetack/start.py
+++ b/agatetack/start.py
@@ -38,13 +38,13 @@
     set_up_decisions(checked.settings.logs.decisions)
     for finding in checked.findings:
         PartLog("settings").warning("%s", render_findings([finding]))
-    _check_early(checked.settings.callers.listen)
+    _close_unused_listeners(checked.settings.callers.listen)
     return _run_daemon(checked.settings, config)
 
 
-def _check_early(listen: Endpoint) -> None:
+def _close_unused_listeners(listen: Endpoint) -> None:
     """Close an early listener whose address is not that of the settings."""
-    for address in early_listener.keep_only(listen.host, listen.port):
+    for address in early_listener.close_others(listen.host, listen.port):
         PartLog("callers").warning(
             "%s names %s, and callers.listen is %s:%d.",
             early_listener.LISTEN_VARIABLE,
--- a/agatetack/test_early_listener.py
+++ b/agatetack/test_early_listener.py
@@ -24,7 +24,7 @@
 @pytest.fixture(autouse=True)
 def no_early_listeners():
     yield
-    early_listener.keep_only("", 0)
+    early_listener.close_others("", 0)
 
 
 def listen_on_any_port(monkeypatch):
@@ -70,6 +70,6 @@
 
 def test_a_listener_elsewhere_is_closed(monkeypatch):
     port = listen_on_any_port(monkeypatch)
-    assert early_listener.keep_only(LOOPBACK, port) == [f"{LOOPBACK}:0"]
+    assert early_listener.close_others(LOOPBACK, port) == [f"{LOOPBACK}:0"]
     with pytest.raises(ConnectionRefusedError):
         socket.create_connection((LOOPBACK, port), timeout=5)
--- a/agatetack/test_start.py
+++ b/agatetack/test_start.py
@@ -17,10 +17,10 @@
     "print(json.dumps(sorted(sys.modules)))"
 )
 
-MOST_MODULES = 620
+MAX_MODULES = 620
 """Most modules that a start may load, including Python's own."""
 
-MOST_OWN_MODULES = 185
+MAX_OWN_MODULES = 185
 """Most of this project's modules that a start may load."""
 
 
@@ -34,8 +34,8 @@
 
 def test_a_start_loads_no_more_modules_than_it_may(modules):
     own = [name for name in modules if name.split(".")[0] == "agatetack"]
-    assert len(modules) <= MOST_MODULES
-    assert len(own) <= MOST_OWN_MODULES
+    assert len(modules) <= MAX_MODULES
+    assert len(own) <= MAX_OWN_MODULES
 
 
 @pytest.mark.parametrize(
