--- a/agatetack/attempts/single.py
+++ b/agatetack/attempts/single.py
@@ -12,7 +12,7 @@
 from agatetack.messages import (
     Answer,
     AnswerCut,
-    AttemptNote,
+    AttemptRecord,
     Body,
     BytesBody,
     CallerRequest,
@@ -187,7 +187,7 @@
             freshness=plan.freshness,
         )
         started = Deadline(trio.current_time())
-        note = AttemptNote(
+        note = AttemptRecord(
             attempt.id, permit.target.id, started, plan.retry_reason
         )
         plan.request.attempts.append(note)
@@ -240,7 +240,7 @@
         )
 
     def _trace_end(
-        self, plan: AttemptPlan, note: AttemptNote, outcome: str
+        self, plan: AttemptPlan, note: AttemptRecord, outcome: str
     ) -> None:
         decisions.held(
             plan.request.decision_trace,
--- a/agatetack/headers.py
+++ b/agatetack/headers.py
@@ -48,7 +48,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class ReadDecimal:
+class ParsedDecimal:
     """The number in the header fields of one name.
 
     Attributes:
@@ -60,26 +60,26 @@
     problem: DecimalProblem | None = None
 
 
-def read_decimal(values: Sequence[bytes], most: float) -> ReadDecimal:
-    """Parse the values of a header as one number from 0 to `most`.
+def read_decimal(values: Sequence[bytes], maximum: float) -> ParsedDecimal:
+    """Parse the values of a header as one number from 0 to `maximum`.
 
     Args:
         values: The value of each field of that name, in order.
-        most: The highest number that is accepted.
+        maximum: The highest number that is accepted.
     """
     if not values:
-        return ReadDecimal()
+        return ParsedDecimal()
     if len(values) > 1:
-        return ReadDecimal(problem=DecimalProblem.REPEATED)
+        return ParsedDecimal(problem=DecimalProblem.REPEATED)
     text = values[0].strip()
     if len(text) > MAX_DECIMAL_BYTES:
-        return ReadDecimal(problem=DecimalProblem.TOO_LONG)
+        return ParsedDecimal(problem=DecimalProblem.TOO_LONG)
     if DECIMAL.fullmatch(text) is None:
-        return ReadDecimal(problem=DecimalProblem.NOT_A_NUMBER)
+        return ParsedDecimal(problem=DecimalProblem.NOT_A_NUMBER)
     value = float(text)
-    if value > most:
-        return ReadDecimal(problem=DecimalProblem.OUT_OF_RANGE)
-    return ReadDecimal(value)
+    if value > maximum:
+        return ParsedDecimal(problem=DecimalProblem.OUT_OF_RANGE)
+    return ParsedDecimal(value)
 
 
 def read_count(value: bytes | None) -> int | None:
--- a/agatetack/messages.py
+++ b/agatetack/messages.py
@@ -125,7 +125,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class AttemptNote:
+class AttemptRecord:
     """Record of one attempt of a request, for operators' inquiries.
 
     Attributes:
@@ -181,7 +181,7 @@
     key: IdempotencyKey | None
     arrived: Deadline
     deadline_given: bool = True
-    attempts: list[AttemptNote] = dataclasses.field(default_factory=list)
+    attempts: list[AttemptRecord] = dataclasses.field(default_factory=list)
     decision_trace: DecisionTrace = dataclasses.field(
         default_factory=DecisionTrace
     )
--- a/agatetack/operators/explainer.py
+++ b/agatetack/operators/explainer.py
@@ -10,7 +10,7 @@
 from agatetack.clock import Clock, deadline_to_wall
 from agatetack.generated.operators import ttypes
 from agatetack.ids import Deadline, HostId, RequestId
-from agatetack.messages import AttemptNote
+from agatetack.messages import AttemptRecord
 from agatetack.operators import refusals, request_views
 from agatetack.operators.convert import (
     FieldProblems,
@@ -129,7 +129,7 @@
 
 
 def _attempt(
-    note: AttemptNote, arrived: Deadline
+    note: AttemptRecord, arrived: Deadline
 ) -> request_views.ExplainedAttempt:
     ended = None if note.ended is None else _ms(note.ended - arrived)
     return request_views.ExplainedAttempt(
@@ -143,7 +143,7 @@
     )
 
 
-def _result(note: AttemptNote) -> AttemptResult | None:
+def _result(note: AttemptRecord) -> AttemptResult | None:
     if note.ended is None:
         return None
     if note.cancelled:
--- a/agatetack/serving/explain.py
+++ b/agatetack/serving/explain.py
@@ -7,7 +7,7 @@
 
 from agatetack.config.route import Route
 from agatetack.ids import Deadline, RequestId, RouteId, ServiceId
-from agatetack.messages import AttemptNote, CallerRequest
+from agatetack.messages import AttemptRecord, CallerRequest
 from agatetack.outcomes import Refusal
 
 MAX_ANSWERED_NOTES = 2_000
@@ -42,7 +42,7 @@
     finished: Deadline
     status: int
     refusal: Refusal | None
-    attempts: list[AttemptNote]
+    attempts: list[AttemptRecord]
 
 
 class _LatestNotes:
--- a/agatetack/targets/rate_limit.py
+++ b/agatetack/targets/rate_limit.py
@@ -6,7 +6,7 @@
 
 from agatetack.headers import (
     DecimalProblem,
-    ReadDecimal,
+    ParsedDecimal,
     read_decimal,
 )
 from agatetack.ids import Deadline
@@ -15,7 +15,7 @@
 """Highest rate limit that is accepted, in requests per second."""
 
 
-def read_rate(values: Sequence[bytes]) -> ReadDecimal:
+def read_rate(values: Sequence[bytes]) -> ParsedDecimal:
     """Return the rate limit for all hosts together, in requests per second.
 
     Args:
@@ -23,7 +23,7 @@
     """
     read = read_decimal(values, MAX_REQUESTS_PER_SECOND)
     if read.value == 0:
-        return ReadDecimal(problem=DecimalProblem.OUT_OF_RANGE)
+        return ParsedDecimal(problem=DecimalProblem.OUT_OF_RANGE)
     return read
 
 
--- a/agatetack/targets/test_rate_limit.py
+++ b/agatetack/targets/test_rate_limit.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from agatetack.headers import DecimalProblem, ReadDecimal
+from agatetack.headers import DecimalProblem, ParsedDecimal
 from agatetack.targets.rate_limit import RateLimit, read_rate
 
 
@@ -18,7 +18,7 @@
     ],
 )
 def test_a_rate_is_a_decimal_number(values, rate):
-    assert read_rate(values) == ReadDecimal(rate)
+    assert read_rate(values) == ParsedDecimal(rate)
 
 
 @pytest.mark.parametrize(
@@ -39,7 +39,7 @@
     ],
 )
 def test_anything_else_is_not_believed(values, problem):
-    assert read_rate(values) == ReadDecimal(problem=problem)
+    assert read_rate(values) == ParsedDecimal(problem=problem)
 
 
 @pytest.mark.parametrize(
