--- a/bench/host_work.py
+++ b/bench/host_work.py
@@ -47,7 +47,7 @@
     def __init__(self, patch: pytest.MonkeyPatch) -> None:
         """Count from now on."""
         self.counts: collections.Counter[str] = collections.Counter()
-        self._count_calls(patch, PeerExchange, "_take_publish", self._message)
+        self._count_calls(patch, PeerExchange, "_handle_publish", self._message)
         self._count_calls(patch, Link, "publish", lambda *_: "messages sent")
         self._count_calls(
             patch, SampleExchange, "_take_sample", lambda *_: "samples taken"
